--- a/link/control.go
+++ b/link/control.go
@@ -12,7 +12,7 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// controlTimeout bounds a call about a running task.
+// controlTimeout bounds a control call for a running task.
 const controlTimeout = time.Second
 
 // Renew implements dispatch.TaskControl.
@@ -37,8 +37,10 @@
 	}
 }
 
-// controlTask sends a call about a running task.
-func (l *Workers) controlTask(ctx context.Context, r dispatch.StartRequest, call string) (dispatch.ControlReply, error) {
+// controlTask sends a control call for a running task.
+func (l *Workers) controlTask(
+	ctx context.Context, r dispatch.StartRequest, call string,
+) (dispatch.ControlReply, error) {
 	w, ok := l.fleet.Get(r.Worker)
 	if !ok {
 		return dispatch.ControlReply{}, fault.Unavailable.New("worker %s is not listed", r.Worker)
--- a/link/dialerror.go
+++ b/link/dialerror.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// isDialError reports whether a connection could not be opened, so that nothing was written to it.
+// isDialError reports whether opening the connection failed, so that no request byte was sent.
 func isDialError(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,2 +1,2 @@
-// Package link models the connections between machines: from an entry VM to its peers and to workers.
+// Package link implements the connections between machines: from an entry VM to its peers and to workers.
 package link
--- a/link/example_test.go
+++ b/link/example_test.go
@@ -15,7 +15,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Messages to a peer are batched in envelopes on one long stream.
+// Messages to a peer are batched in envelopes on one long-lived stream.
 func ExamplePeer() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -7,29 +7,29 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// StartVerdict is a worker's answer to a start.
+// StartVerdict is a worker's decision on a start.
 type StartVerdict uint8
 
-// Verdicts. All but StartAccepted prove that the call has started nothing.
+// Verdicts. All but StartAccepted prove that the call did not start a run.
 const (
 	StartAccepted StartVerdict = iota
-	// StartFenced means that a higher fencing token has been used: the worker has another owner.
+	// StartFenced means that the worker has seen a higher fencing token: it has another owner.
 	StartFenced
-	// StartSuperseded means that this run or a later one has been stopped or has ended there.
+	// StartSuperseded means that this run or a later run of the task has ended or was stopped on the worker.
 	StartSuperseded
-	// StartExpired means that the lease of the call had ended on the worker's clock.
+	// StartExpired means that the call's lease had already expired on the worker's clock.
 	StartExpired
-	// StartNoRoom means that the worker has no room for the task.
+	// StartNoRoom means that the worker has too little free capacity for the task.
 	StartNoRoom
-	// StartUnhealthy means that the worker rejects work for now.
+	// StartUnhealthy means that the worker temporarily rejects all work.
 	StartUnhealthy
-	// StartInvalid means that the worker cannot read the call.
+	// StartInvalid means that the worker cannot decode the call.
 	StartInvalid
-	// StartOtherLife means that the worker has been restarted.
+	// StartOtherLife means that the worker has been restarted and has another incarnation.
 	StartOtherLife
 )
 
-// String returns the verdict's name for logs.
+// String returns the verdict's name as used in logs.
 func (v StartVerdict) String() string {
 	names := [...]string{"accepted", "fenced", "superseded", "expired", "no room", "unhealthy", "invalid", "other life"}
 	if int(v) < len(names) {
@@ -38,13 +38,13 @@
 	return "unrecognised"
 }
 
-// HostAddress names a worker and where it is reached.
+// HostAddress is a worker's id and network address.
 type HostAddress struct {
 	Worker  string
 	Address string
 }
 
-// HostStart orders a run. LeaseEnd is a time on the worker's clock.
+// HostStart is the request to start a run. LeaseEnd is a time on the worker's clock.
 type HostStart struct {
 	Key      contract.RunKey
 	Spec     []byte
@@ -52,32 +52,33 @@
 	Token    uint64
 }
 
-// HostHold extends the lease of all runs of a worker and asks for their states.
+// HostHold is the request that extends the lease of all runs of a worker and returns their states.
 type HostHold struct {
-	Token    uint64
+	Token uint64
+	// LastSeen is the number of the last ended run that the caller has received; later ones are returned.
 	LastSeen uint64
-	// LeaseEnd is a time on the worker's clock; zero extends nothing.
+	// LeaseEnd is a time on the worker's clock; zero does not extend the lease.
 	LeaseEnd time.Duration
-	// Wait is how long the worker may delay its answer until a run ends.
+	// Wait is how long the worker may delay its reply until a run ends.
 	Wait time.Duration
 }
 
-// HostReply is what every answer of a worker contains.
+// HostReply is the part that all replies of a worker have in common. Born is the start time of its incarnation.
 type HostReply struct {
 	Clock time.Duration
 	Born  int64
-	// Fenced and OtherLife say why the call had no effect.
+	// Fenced and OtherLife are the reasons for which a call has no effect: a higher fencing token, or a restart.
 	Fenced    bool
 	OtherLife bool
 }
 
-// RunningRun is a run that the worker has not ended. Progress is a percentage.
+// RunningRun is a run that has not ended on the worker. Progress is a percentage.
 type RunningRun struct {
 	Key      contract.RunKey
 	Progress int
 }
 
-// EndedRun is a run that the worker has ended.
+// EndedRun is a run that has ended on the worker. Number counts the worker's ended runs.
 type EndedRun struct {
 	Number uint64
 	Key    contract.RunKey
@@ -85,14 +86,14 @@
 	Reason string
 }
 
-// HoldReply lists the runs of a worker.
+// HoldReply is the reply to a hold, with the worker's runs.
 type HoldReply struct {
 	HostReply
 	Running []RunningRun
 	Ended   []EndedRun
 }
 
-// HostCalls are the calls to workers. An error means that the outcome of the call is in doubt.
+// HostCalls is the client of the workers. The outcome of a call that returns an error is in doubt.
 type HostCalls interface {
 	Start(ctx context.Context, a HostAddress, s HostStart) (StartVerdict, HostReply, error)
 	Stop(ctx context.Context, a HostAddress, key contract.RunKey, token uint64) (HostReply, error)
--- a/link/inflight.go
+++ b/link/inflight.go
@@ -2,8 +2,8 @@
 
 import "github.com/cicadadale/cicadadale/machine"
 
-// InFlight reports whether starts to a worker wait for their replies. Status reports show whether they still run, so
-// that such a worker has to be asked often.
+// InFlight reports whether any start to a worker is waiting for its reply. Such a worker must be polled often, since
+// its status reports show whether these tasks are still running.
 func (l *Workers) InFlight(id machine.WorkerID) bool {
 	l.mu.RLock()
 	w, ok := l.links[id]
--- a/link/peer.go
+++ b/link/peer.go
@@ -22,30 +22,30 @@
 
 const (
 	peerDialTimeout = time.Second
-	// outboxLimit bounds the messages that wait on a link; beyond it and outboxBytes the oldest are dropped, which every message
-	// but a request survives, and a request times out at its sender.
+	// outboxLimit bounds the messages queued on a link. Beyond it or outboxBytes the oldest are dropped. A dropped
+	// request times out at its sender; the protocol tolerates the loss of all other messages.
 	outboxLimit = 8192
 	batchLimit  = 512
 	redialDelay = 200 * time.Millisecond
-	// ackTimeout is the time without an acknowledgement after which a link counts as silent and is replaced. With the
-	// wait for the next heartbeat and the interval of checks a silent link is replaced within 1.5 s.
+	// ackTimeout is the time without an acknowledgement after which a link is considered silent and is replaced. With
+	// the wait for the next heartbeat and the check interval, a silent link is replaced within 1.5 s.
 	ackTimeout    = 800 * time.Millisecond
 	checkInterval = 200 * time.Millisecond
-	// outboxBytes and batchBytes bound the memory of waiting messages and the size of an envelope. A single message
-	// may be larger than a batch, up to maxEnvelopeBytes.
+	// outboxBytes and batchBytes bound the memory of the queued messages and the size of an envelope. A single message
+	// may exceed batchBytes, up to maxEnvelopeBytes.
 	outboxBytes = 32 << 20
 	batchBytes  = 1 << 20
-	// maxEnvelopeBytes leaves room for the largest job; drpc's own limit of 4 MiB is below it.
+	// maxEnvelopeBytes is enough for the largest job, which would exceed drpc's default limit of 4 MiB.
 	maxEnvelopeBytes = 64 << 20
 )
 
-// Identity is what a process tells its peers of itself.
+// Identity is how a process identifies itself to its peers.
 type Identity struct {
 	VM     machine.EntryVM
 	Domain uint32
 }
 
-// PeerOptions are the parts that peer links share.
+// PeerOptions configures peer links. The callbacks from Sent to Refused may be nil.
 type PeerOptions struct {
 	Self    Identity
 	Dial    func(ctx context.Context, address string) (net.Conn, error)
@@ -53,34 +53,34 @@
 	Now     func() time.Time
 	Logger  *slog.Logger
 	Metrics metrics.Registry
-	// Sent is told before an envelope is sent.
+	// Sent is called before an envelope is sent.
 	Sent func(vm string, now time.Time)
-	// Acked is told when a peer has acknowledged a message, with the time at which it was sent.
+	// Acked is called when a peer has acknowledged an envelope, with the time at which it was sent.
 	Acked func(vm string, sent time.Time)
-	// Stamped is told the stamp that came with an acknowledgement.
-	Stamped func(vm string, stamp uint64)
-	// Replaced is told when a connection has ended, so that nothing sent over it will be replied to for certain.
+	// Stamped is called with the peer's timestamp in an acknowledgement.
+	Stamped func(vm string, timestamp uint64)
+	// Replaced is called when a connection has ended, so that replies to what was sent over it may never arrive.
 	Replaced func(vm string)
-	// Refused is told when a peer refuses this incarnation permanently.
+	// Refused is called when a peer refuses this incarnation permanently.
 	Refused func(vm string)
 	// Timeline may be nil.
 	Timeline *timeline.Ring
 }
 
-// queued is a message in the outbox.
-type queued struct {
+// queuedMessage is a message in the outbox.
+type queuedMessage struct {
 	message *api.PeerMessage
 	size    int
 }
 
-// inFlight is an envelope that is not acknowledged.
-type inFlight struct {
+// sentEnvelope is an envelope that has not been acknowledged.
+type sentEnvelope struct {
 	sequence uint64
 	sent     time.Time
 }
 
-// Peer is the sending half of the link to another entry VM. Its mutex guards the outbox and the acknowledgement
-// state; one goroutine owns the connection.
+// Peer is the sending half of the link to another entry VM. mu guards the outbox and the acknowledgement state; one
+// goroutine owns the connection.
 type Peer struct {
 	o       PeerOptions
 	vm      string
@@ -90,17 +90,18 @@
 	wake    chan struct{}
 
 	mu     sync.Mutex
-	outbox []queued
+	outbox []queuedMessage
 	bytes  int
 	sent   uint64
-	// unacked holds the envelopes sent and not acknowledged, oldest first.
-	unacked  []inFlight
-	progress time.Time // last acknowledgement
-	open     bool
-	tried    bool
+	// unacked holds the envelopes that were sent and not acknowledged, oldest first.
+	unacked []sentEnvelope
+	lastAck time.Time
+	open    bool
+	// dialed is true after the first attempt to connect.
+	dialed bool
 }
 
-// NewPeer opens a link in the background.
+// NewPeer returns a link that connects in the background.
 func NewPeer(vm, address string, o PeerOptions) *Peer {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Peer{
@@ -110,21 +111,21 @@
 	return p
 }
 
-// Address returns where the link leads.
+// Address returns the peer's address.
 func (p *Peer) Address() string { return p.address }
 
-// Send queues messages for the next envelope.
+// Send queues messages for the next envelope. It drops the oldest messages of a full outbox.
 func (p *Peer) Send(msgs ...*api.PeerMessage) {
 	dropped := 0
 	p.mu.Lock()
 	for _, m := range msgs {
 		size := proto.Size(m)
-		p.outbox = append(p.outbox, queued{message: m, size: size})
+		p.outbox = append(p.outbox, queuedMessage{message: m, size: size})
 		p.bytes += size
 	}
 	for len(p.outbox) > outboxLimit || (p.bytes > outboxBytes && len(p.outbox) > 1) {
 		p.bytes -= p.outbox[0].size
-		p.outbox[0] = queued{}
+		p.outbox[0] = queuedMessage{}
 		p.outbox = p.outbox[1:]
 		dropped++
 	}
@@ -142,17 +143,17 @@
 func (p *Peer) Failing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tried && !p.open
+	return p.dialed && !p.open
 }
 
-// Flushed reports whether nothing waits to be sent or acknowledged.
+// Flushed reports whether all messages have been sent and acknowledged.
 func (p *Peer) Flushed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.outbox) == 0 && len(p.unacked) == 0
 }
 
-// Close ends the link.
+// Close closes the link and waits for its goroutine.
 func (p *Peer) Close() {
 	p.cancel()
 	<-p.done
@@ -162,7 +163,7 @@
 	return metrics.GetOrRegisterCounter(name, p.o.Metrics)
 }
 
-// maintain keeps one stream open, replacing it when it fails or goes silent.
+// maintain keeps one stream open and replaces it when it fails or becomes silent.
 func (p *Peer) maintain(ctx context.Context) {
 	defer close(p.done)
 	for ctx.Err() == nil {
@@ -178,8 +179,8 @@
 			p.o.Refused(p.vm)
 		}
 		p.counter(metric.PeerLinksReplaced).Inc(1)
-		p.o.Timeline.Record(timeline.Event{Kind: timeline.LinkReplaced, Peer: p.vm, Detail: reasonOf(err)})
-		p.o.Logger.Debug("peer link ended", "peer", p.vm, "error", err)
+		p.o.Timeline.Record(timeline.Event{Kind: timeline.LinkReplaced, Peer: p.vm, Detail: errorText(err)})
+		p.o.Logger.Debug("peer link closed", "peer", p.vm, "error", err)
 		select {
 		case <-time.After(redialDelay):
 		case <-ctx.Done():
@@ -199,7 +200,7 @@
 	}
 	conn := drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()})
 	defer func() { _ = conn.Close() }()
-	// Closing the socket first unblocks a sender and a receiver whose connection is silent.
+	// Closing the socket first unblocks a sender and a receiver on a silent connection.
 	defer func() { _ = raw.Close() }()
 	stream, err := api.NewDRPCPeerClient(conn).Exchange(ctx)
 	if err != nil {
@@ -218,15 +219,15 @@
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxEnvelopeBytes}}
 }
 
-// watch closes a connection without progress. It does not depend on the sender, which blocks on a silent connection
-// whose buffers are full.
+// watch closes a connection without acknowledgements. It runs apart from the sender, which blocks when the buffers of a
+// silent connection are full.
 func (p *Peer) watch(ctx context.Context, raw net.Conn, failed chan<- error) {
 	check := time.NewTicker(checkInterval)
 	defer check.Stop()
 	for {
 		select {
 		case <-check.C:
-			if p.silent(p.o.Now()) {
+			if p.isSilent(p.o.Now()) {
 				failed <- errSilent
 				_ = raw.Close()
 				return
@@ -242,14 +243,14 @@
 	defer p.mu.Unlock()
 	p.sent = 0
 	p.unacked = nil
-	p.open, p.tried = true, true
+	p.open, p.dialed = true, true
 }
 
 // setOpen records whether the link has a connection.
 func (p *Peer) setOpen(open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open, p.tried = open, true
+	p.open, p.dialed = open, true
 }
 
 func (p *Peer) sendLoop(ctx context.Context, stream api.DRPCPeer_ExchangeClient, failed <-chan error) error {
@@ -273,8 +274,8 @@
 	}
 }
 
-// firstError returns the reason for which the connection ended; a failed send is only its consequence. The receiver
-// gets a moment to read the reason that a peer gave.
+// firstError returns the error that ended the connection; a failed send is only its consequence. It waits for up to
+// checkInterval for the receiver to read the error that the peer returned.
 func firstError(failed <-chan error, err error) error {
 	timer := time.NewTimer(checkInterval)
 	defer timer.Stop()
@@ -286,7 +287,7 @@
 	}
 }
 
-// nextEnvelope takes a batch from the outbox.
+// nextEnvelope takes a batch from the outbox, or returns nil if the outbox is empty.
 func (p *Peer) nextEnvelope() *api.Envelope {
 	p.mu.Lock()
 	if len(p.outbox) == 0 {
@@ -309,11 +310,11 @@
 	p.bytes -= size
 	p.sent++
 	sequence := p.sent
-	p.unacked = append(p.unacked, inFlight{sequence: sequence, sent: p.o.Now()})
+	p.unacked = append(p.unacked, sentEnvelope{sequence: sequence, sent: p.o.Now()})
 	p.mu.Unlock()
 	env := &api.Envelope{Sequence: sequence, Lamport: p.o.Lamport(), Messages: batch}
 	if sequence == 1 {
-		// The receiver remembers who sends on a stream; repeated, it would be a third of the bytes.
+		// Only the first envelope of a stream identifies the sender; in each it would be a third of the bytes.
 		env.FromVm, env.FromDomain = p.o.Self.VM.ID, p.o.Self.Domain
 		env.FromIncarnation = uint64(p.o.Self.VM.Incarnation)
 	}
@@ -323,9 +324,10 @@
 	return env
 }
 
-func (p *Peer) silent(now time.Time) bool { return p.Stuck(now) > ackTimeout }
+func (p *Peer) isSilent(now time.Time) bool { return p.Stuck(now) > ackTimeout }
 
-// Stuck returns how long the oldest envelope has waited for an acknowledgement, or for any since the last one came.
+// Stuck returns the time since the oldest unacknowledged envelope was sent or the last acknowledgement arrived,
+// whichever is later.
 func (p *Peer) Stuck(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -333,8 +335,8 @@
 		return 0
 	}
 	since := p.unacked[0].sent
-	if p.progress.After(since) {
-		since = p.progress
+	if p.lastAck.After(since) {
+		since = p.lastAck
 	}
 	return now.Sub(since)
 }
@@ -347,14 +349,14 @@
 			return
 		}
 		p.acknowledge(env.GetAck(), p.o.Now())
-		if stamp := env.GetStampMs(); stamp != 0 && p.o.Stamped != nil {
-			p.o.Stamped(p.vm, stamp)
+		if timestamp := env.GetStampMs(); timestamp != 0 && p.o.Stamped != nil {
+			p.o.Stamped(p.vm, timestamp)
 		}
 	}
 }
 
-// acknowledge records progress. Any acknowledgement restarts the time of the envelopes behind it, which may wait for a
-// large one before them.
+// acknowledge removes the acknowledged envelopes. Any acknowledgement restarts the timeout of the later ones, which may
+// wait behind a large envelope.
 func (p *Peer) acknowledge(ack uint64, now time.Time) {
 	p.mu.Lock()
 	var sent time.Time
@@ -362,14 +364,14 @@
 		sent = p.unacked[0].sent
 		p.unacked = p.unacked[1:]
 	}
-	p.progress = now
+	p.lastAck = now
 	p.mu.Unlock()
 	if !sent.IsZero() && p.o.Acked != nil {
 		p.o.Acked(p.vm, sent)
 	}
 }
 
-func reasonOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/link/peer_test.go
+++ b/link/peer_test.go
@@ -17,7 +17,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// pipeListener connects in memory, so that links work under testing/synctest.
+// pipeListener accepts in-memory connections, so that links work under testing/synctest.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -44,16 +44,16 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// muteConn passes nothing on once it is muted, and blocks both sides until it is closed.
-type muteConn struct {
+// blockableConn transfers no data once block is closed; reads and writes then block until the connection is closed.
+type blockableConn struct {
 	net.Conn
-	muted, closed chan struct{}
+	block, closed chan struct{}
 	once          sync.Once
 }
 
-func (c *muteConn) blocked() bool {
+func (c *blockableConn) blocked() bool {
 	select {
-	case <-c.muted:
+	case <-c.block:
 		<-c.closed
 		return true
 	default:
@@ -61,7 +61,7 @@
 	}
 }
 
-func (c *muteConn) Read(b []byte) (int, error) {
+func (c *blockableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.blocked() {
 		return 0, net.ErrClosed
@@ -69,38 +69,38 @@
 	return n, err
 }
 
-func (c *muteConn) Write(b []byte) (int, error) {
+func (c *blockableConn) Write(b []byte) (int, error) {
 	if c.blocked() {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *muteConn) Close() error {
+func (c *blockableConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// Guards against a link that stays on a connection which went silent for good, with its sender blocked: heartbeats must
-// get through again within 1.5 s.
+// Guards against a link that keeps a connection which has become silent permanently and blocks its sender: heartbeats
+// must arrive again within 1.5 s.
 func TestSilentPeerLinkIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
-		heard := make(chan time.Time, 100)
+		received := make(chan time.Time, 100)
 		server, err := link.ServePeers(l, func(*api.Envelope) link.Reception {
-			heard <- time.Now()
+			received <- time.Now()
 			return link.Accepted
 		}, nil)
 		require.NoError(t, err)
-		muted := make(chan struct{})
+		block := make(chan struct{})
 		dials := 0
 		peer := link.NewPeer("b", "", link.PeerOptions{
 			Self: link.Identity{VM: machine.EntryVM{ID: "a", Incarnation: 1}, Domain: 1},
 			Dial: func(context.Context, string) (net.Conn, error) {
 				here, there := net.Pipe()
-				c := &muteConn{Conn: here, muted: make(chan struct{}), closed: make(chan struct{})}
+				c := &blockableConn{Conn: here, block: make(chan struct{}), closed: make(chan struct{})}
 				if dials == 0 {
-					c.muted = muted
+					c.block = block
 				}
 				dials++
 				l.conns <- there
@@ -109,23 +109,25 @@
 			Lamport: func() uint64 { return 1 }, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
 			Metrics: metrics.NewRegistry(),
 		})
-		beat := func() { peer.Send(&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: &api.Heartbeat{}}}) }
+		sendHeartbeat := func() {
+			peer.Send(&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: &api.Heartbeat{}}})
+		}
 		for range 4 {
-			beat()
+			sendHeartbeat()
 			time.Sleep(500 * time.Millisecond)
 		}
-		require.Len(t, heard, 4)
-		close(muted)
-		silent := time.Now()
+		require.Len(t, received, 4)
+		close(block)
+		blockedAt := time.Now()
 		for range 4 {
-			beat()
+			sendHeartbeat()
 			time.Sleep(500 * time.Millisecond)
 		}
-		require.Greater(t, len(heard), 4, "no heartbeat over another connection")
+		require.Greater(t, len(received), 4, "no heartbeat arrived over another connection")
 		for range 4 {
-			<-heard
+			<-received
 		}
-		require.LessOrEqual(t, (<-heard).Sub(silent), 1500*time.Millisecond)
+		require.LessOrEqual(t, (<-received).Sub(blockedAt), 1500*time.Millisecond)
 		peer.Close()
 		server.Close()
 	})
--- a/link/peerserver.go
+++ b/link/peerserver.go
@@ -14,46 +14,46 @@
 )
 
 var (
-	errSilent   = errors.New("link is silent")
-	errRefused  = errors.New("incarnation counts as gone")
-	errNotHeard = errors.New("incarnation is not accepted now")
+	errSilent    = errors.New("no acknowledgement before the timeout")
+	errRefused   = errors.New("sender's incarnation is considered dead")
+	errNotListed = errors.New("sender is not on the VM list")
 )
 
 const (
-	// codeRefused is the drpc error code that tells a peer that its incarnation is refused permanently.
+	// codeRefused is the drpc error code for an incarnation that is refused permanently.
 	codeRefused = 1
-	// peerIdleTimeout ends inbound connections without a message; heartbeats arrive every 500 ms.
+	// peerIdleTimeout closes inbound connections without a message; heartbeats arrive every 500 ms.
 	peerIdleTimeout = 5 * time.Second
 )
 
-// Reception is how a peer's envelope was taken.
+// Reception is the handler's decision on a peer's envelope.
 type Reception uint8
 
 // Receptions. Only an accepted envelope is acknowledged.
 const (
 	Accepted Reception = iota
-	// Ignored envelopes come from a VM that the list has dropped; it may come back.
+	// Ignored envelopes come from a VM that is not on the VM list; it may be listed again.
 	Ignored
-	// Refused envelopes come from an incarnation that counts as gone.
+	// Refused envelopes come from an incarnation that is considered dead.
 	Refused
 )
 
-// PeerHandler takes the messages of one envelope, in order. It must not block.
+// PeerHandler handles the messages of one envelope, in order. It must not block.
 type PeerHandler func(env *api.Envelope) Reception
 
 // PeerServer accepts the links of other entry VMs.
 type PeerServer struct {
-	handler PeerHandler
-	stamp   func() uint64
-	cancel  context.CancelFunc
-	done    chan struct{}
+	handler   PeerHandler
+	timestamp func() uint64
+	cancel    context.CancelFunc
+	done      chan struct{}
 }
 
-// ServePeers accepts links on l in the background. Each acknowledgement carries the stamp, the time of this process as it
-// counts it; nil sends none.
-func ServePeers(l net.Listener, handler PeerHandler, stamp func() uint64) (*PeerServer, error) {
+// ServePeers accepts links on l in the background. timestamp returns the time of this process's own clock, which each
+// acknowledgement carries; it may be nil.
+func ServePeers(l net.Listener, handler PeerHandler, timestamp func() uint64) (*PeerServer, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &PeerServer{handler: handler, stamp: stamp, cancel: cancel, done: make(chan struct{})}
+	s := &PeerServer{handler: handler, timestamp: timestamp, cancel: cancel, done: make(chan struct{})}
 	mux := drpcmux.New()
 	if err := api.DRPCRegisterPeer(mux, s); err != nil {
 		cancel()
@@ -62,13 +62,13 @@
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()})
 	go func() {
 		defer close(s.done)
-		// The listener's end is reported to those who closed it.
+		// The caller that closed the listener already knows that it is closed.
 		_ = server.Serve(ctx, idleListener{l})
 	}()
 	return s, nil
 }
 
-// Exchange implements the generated server interface: it hands envelopes on and acknowledges them.
+// Exchange implements the generated server interface: it passes envelopes to the handler and acknowledges them.
 func (s *PeerServer) Exchange(stream api.DRPCPeer_ExchangeStream) error {
 	var sender *api.Envelope
 	for {
@@ -86,11 +86,11 @@
 		case Refused:
 			return drpcerr.WithCode(errRefused, codeRefused)
 		case Ignored:
-			return errNotHeard
+			return errNotListed
 		}
 		ack := &api.Envelope{Ack: env.GetSequence()}
-		if s.stamp != nil {
-			ack.StampMs = s.stamp()
+		if s.timestamp != nil {
+			ack.StampMs = s.timestamp()
 		}
 		if err := stream.Send(ack); err != nil {
 			return err
@@ -98,13 +98,13 @@
 	}
 }
 
-// Close stops accepting and ends all streams.
+// Close stops accepting links and closes all streams.
 func (s *PeerServer) Close() {
 	s.cancel()
 	<-s.done
 }
 
-// idleListener bounds the time for which an inbound connection may be silent, which otherwise would stay permanently.
+// idleListener closes inbound connections that are silent for peerIdleTimeout, which otherwise would stay open forever.
 type idleListener struct{ net.Listener }
 
 // Accept implements net.Listener.
--- a/link/peerview.go
+++ b/link/peerview.go
@@ -9,7 +9,7 @@
 	Open    bool
 	Queued  int
 	Unacked uint64
-	// Silent is the time since the oldest envelope that waits for its acknowledgement.
+	// Silent is the time since the oldest unacknowledged envelope was sent.
 	Silent time.Duration
 }
 
--- a/link/startconn.go
+++ b/link/startconn.go
@@ -16,18 +16,18 @@
 const (
 	// maxResultBytes bounds the reply to a start or a fence.
 	maxResultBytes = 8 << 20
-	// startIdle is how long an idle connection for starts is kept. It is shorter than the usual idle time of servers,
-	// since a start on a connection that the worker has just closed is in doubt.
-	startIdle = 10 * time.Second
+	// startIdleTimeout is how long an idle connection for starts is kept. It is shorter than the usual idle timeout of
+	// servers, since a start on a connection that the worker has just closed is in doubt.
+	startIdleTimeout = 10 * time.Second
 	// maxIdleStarts bounds the idle connections to a worker. With 8 entry VMs they take 32 of its 64 connections, the
-	// starts in its 8 slots 8, and status polls 8, which leaves the rest for fencing.
+	// starts in its 8 slots take 8, and status polls take 8, which leaves 16 for fencing calls.
 	maxIdleStarts = 4
 )
 
 var errAbandoned = errors.New("the start was abandoned")
 
-// startConn is one connection for starts. It is its own hertz dialer, so that the connection of a start can be closed
-// while the start waits for its reply. mu guards all fields but host.
+// startConn is a connection for starts. It is its own hertz dialer, so that the connection can be closed while a start
+// waits for its reply. mu guards all fields but host.
 type startConn struct {
 	host *http1.HostClient
 
@@ -38,9 +38,9 @@
 
 func newStartConn(address string) *startConn {
 	c := &startConn{}
-	// Without a retry function the client repeats only idempotent methods, and a start is a POST.
+	// Without a retry function the client retries only idempotent methods, and a start is a POST.
 	c.host = http1.NewHostClient(&http1.ClientOptions{
-		Dialer: c, DialTimeout: workerDialTimeout, MaxConns: 1, MaxIdleConnDuration: startIdle,
+		Dialer: c, DialTimeout: workerDialTimeout, MaxConns: 1, MaxIdleConnDuration: startIdleTimeout,
 		MaxResponseBodySize: maxResultBytes,
 	}).(*http1.HostClient)
 	c.host.SetDynamicConfig(&client.DynamicConfig{Addr: address})
@@ -73,7 +73,7 @@
 	return standard.NewDialer().AddTLS(conn, t)
 }
 
-// abandon closes the connection, which ends the request on it.
+// abandon closes the connection, which fails the request on it.
 func (c *startConn) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/link/wire.go
+++ b/link/wire.go
@@ -2,14 +2,14 @@
 
 import "github.com/cicadadale/cicadadale/dispatch"
 
-// Headers of the worker protocol.
+// HTTP headers of the worker protocol.
 const (
 	HeaderService = "Cicadadale-Service"
 	HeaderKind    = "Cicadadale-Kind"
 	HeaderHome    = "Cicadadale-Home"
 	HeaderEpoch   = "Cicadadale-Epoch"
-	// HeaderAttempt numbers the starts of a task from 1. A fence refuses the attempts up to its own, so that a start
-	// which is proven not to have happened does not bar the worker for the task.
+	// HeaderAttempt numbers the starts of a task from 1. A fence refuses attempts up to its own number, so that the
+	// worker can still take the task after a start that is proven not to have happened.
 	HeaderAttempt     = "Cicadadale-Attempt"
 	HeaderStartBy     = "Cicadadale-Start-By-Ms"
 	HeaderLease       = "Cicadadale-Lease-Ms"
@@ -30,11 +30,11 @@
 	OutcomeRejected = "rejected"
 	OutcomeRunning  = "running"
 	OutcomeNever    = "never-started"
-	// OutcomeRestarted says that another incarnation of the worker has taken the place of the one asked for.
+	// OutcomeRestarted means that the worker has been restarted and the incarnation of the request has ended.
 	OutcomeRestarted = "restarted"
 )
 
-// Reasons of a rejected start.
+// Reasons for rejecting a start.
 const (
 	RejectFull        = dispatch.ReasonWorkerFull
 	RejectIncarnation = "worker incarnation"
@@ -44,7 +44,7 @@
 	RejectLeaving     = "leaving"
 )
 
-// Reasons of a task that the worker has ended before its time. Such a task has run, if only in part.
+// Reasons for which the worker ended a task early. Such a task has run at least in part.
 const (
 	StoppedByHome = "stopped"
 	StoppedLapsed = "lease lapsed"
@@ -53,11 +53,11 @@
 // WorkerStatus is the reply to GET /v1/status.
 type WorkerStatus struct {
 	Incarnation string `json:"incarnation"`
-	// ClockMS is the worker's monotonic clock.
+	// ClockMS is the reading of the worker's monotonic clock.
 	ClockMS int64 `json:"clock_ms"`
 	Slots   int   `json:"slots"`
 	Busy    int   `json:"busy"`
 	Leaving bool  `json:"leaving"`
-	// Tasks holds the ids of the running tasks. A worker that does not report them leaves it out.
+	// Tasks holds the ids of the running tasks. It is missing if the worker does not report them.
 	Tasks []string `json:"tasks"`
 }
--- a/link/worker.go
+++ b/link/worker.go
@@ -25,15 +25,15 @@
 const (
 	workerDialTimeout = time.Second
 	statusTimeout     = time.Second
-	statusIdle        = time.Minute
-	fenceIdle         = 2 * time.Second
-	// maxClockError is the round trip of a status poll beyond which its reading of the worker's clock is not used.
+	statusIdleTimeout = time.Minute
+	fenceIdleTimeout  = 2 * time.Second
+	// maxClockError is the round-trip time of a status poll beyond which its reading of the worker's clock is ignored.
 	maxClockError = 200 * time.Millisecond
-	// fenceWait is how long a fencing call waits for a running task.
+	// fenceWait is how long a fencing call waits for a running task to end.
 	fenceWait = time.Second
-	// replyMargin is added to a task's lease before the connection counts as silent.
+	// replyMargin is the time after a task's lease until its connection is considered silent.
 	replyMargin = time.Second
-	// ConnectionsPerWorker keeps 8 entry VMs within the 64 connections of a worker: one per slot.
+	// ConnectionsPerWorker is one per slot, so that 8 entry VMs stay within the 64 connections of a worker.
 	ConnectionsPerWorker = 8
 )
 
@@ -43,8 +43,8 @@
 	fleet       *machine.Fleet
 	home        machine.Incarnation
 	connections int
-	// Status polls and fences use connections of their own, so that asking about a task needs no connection that may
-	// be silent or busy.
+	// Status polls and fences use connections of their own, so that they never wait for a connection that may be silent
+	// or busy.
 	status *client.Client
 	fences *client.Client
 	clock  *timeline.Clock
@@ -53,15 +53,16 @@
 	links map[machine.WorkerID]*workerLink
 }
 
-// NewWorkers returns the links of one home. Starts and fences carry the time of the clock.
+// NewWorkers returns the links of one home, the entry VM that answers for its jobs. Starts and fences carry the logical
+// time of clock.
 func NewWorkers(
 	fleet *machine.Fleet, home machine.Incarnation, connections int, clock *timeline.Clock,
 ) (*Workers, error) {
-	status, err := newWorkerClient(1, statusIdle)
+	status, err := newWorkerClient(1, statusIdleTimeout)
 	if err != nil {
 		return nil, err
 	}
-	fences, err := newWorkerClient(connections, fenceIdle)
+	fences, err := newWorkerClient(connections, fenceIdleTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +100,7 @@
 	return w
 }
 
-// Forget drops the link to a worker that is not listed any more. Starts in pendingStart end as usual.
+// Forget removes the link to a worker that is no longer listed. Pending starts complete as usual.
 func (l *Workers) Forget(id machine.WorkerID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +114,8 @@
 		return dispatch.StartReply{}, fault.NotStarted.New("worker %s is not listed", r.Worker)
 	}
 	if w.Spec().Leaving {
-		return dispatch.StartReply{}, fault.With(fault.NotStarted, fault.ReasonNotSent, "worker %s is leaving", r.Worker)
+		return dispatch.StartReply{}, fault.With(fault.NotStarted, fault.ReasonNotSent, "worker %s is leaving",
+			r.Worker)
 	}
 	clock, ok := w.ClockAt(r.StartBy)
 	if !ok {
@@ -130,22 +132,22 @@
 	req.Header.Set(HeaderHome, l.home.String())
 	req.Header.Set(HeaderEpoch, strconv.FormatUint(r.Epoch, 10))
 	req.Header.Set(HeaderAttempt, strconv.Itoa(r.Attempt))
-	req.Header.Set(HeaderStartBy, strconv.FormatInt(floorMS(clock), 10))
+	req.Header.Set(HeaderStartBy, strconv.FormatInt(floorMillis(clock), 10))
 	req.Header.Set(HeaderLease, strconv.FormatInt(r.Lease.Milliseconds(), 10))
 	req.Header.Set(HeaderIncarnation, r.Incarnation.String())
 	l.sendTime(req)
 	req.SetBodyRaw(r.Ticket.Payload)
 	req.SetOptions(config.WithRequestTimeout(r.Lease + replyMargin))
 	link := l.link(r.Worker)
-	f := link.begin(r.Ticket.Task, address, time.Now())
-	if f == nil {
+	p := link.begin(r.Ticket.Task, address, time.Now())
+	if p == nil {
 		return dispatch.StartReply{}, classify(herrors.ErrNoFreeConns, r)
 	}
 	// The client does not watch the context while it waits for the reply.
-	stop := context.AfterFunc(ctx, f.conn.abandon)
-	err := f.conn.host.Do(ctx, req, resp)
+	stop := context.AfterFunc(ctx, p.conn.abandon)
+	err := p.conn.host.Do(ctx, req, resp)
 	stop()
-	link.end(r.Ticket.Task, f, address)
+	link.end(r.Ticket.Task, p, address)
 	if err != nil {
 		return dispatch.StartReply{}, classify(err, r)
 	}
@@ -153,8 +155,8 @@
 	return readReply(resp, r)
 }
 
-// floorMS rounds down also below zero, so that a start-by time before the worker's own start stays before it.
-func floorMS(t time.Duration) int64 {
+// floorMillis rounds negative times down too, so that a start-by time before the worker's own start stays before it.
+func floorMillis(t time.Duration) int64 {
 	ms := t.Milliseconds()
 	if t < time.Duration(ms)*time.Millisecond {
 		ms--
@@ -162,10 +164,10 @@
 	return ms
 }
 
-// classify tells errors before the first byte was written from those after it. Only two prove that nothing was written:
-// no connection was free, or none could be opened. Every other error of the client is in doubt, including the end of an
-// idle connection that the worker closed, which shows only after the start was written, and a timeout before writing,
-// which the client does not tell from one after it.
+// classify separates errors before the first byte was written from those after it. Only two prove that nothing was
+// written: no connection was free, or none could be opened. After every other error of the client the start is in
+// doubt. That includes an idle connection that the worker closed, which is detected only after the start was written,
+// and a timeout before writing, which the client does not distinguish from one after it.
 func classify(err error, r dispatch.StartRequest) error {
 	if errors.Is(err, herrors.ErrNoFreeConns) || isDialError(err) {
 		return fault.NotStarted.Wrap(err, "start of %s was not sent", r.Ticket.Task).
@@ -192,7 +194,7 @@
 		return reply, nil
 	case OutcomeRejected, OutcomeNever:
 		if reason == RejectDuplicate {
-			// The worker knows the task, so that the rejection proves nothing about its start.
+			// The worker knows the task, so the rejection does not prove that the task was never started.
 			return reply, fault.InDoubt.New("worker %s already knows %s", r.Worker, r.Ticket.Task)
 		}
 		return reply, fault.With(fault.NotStarted, reason, "worker %s rejected %s: %s", r.Worker, r.Ticket.Task, reason)
@@ -219,18 +221,18 @@
 	req.Header.Set(HeaderAttempt, strconv.Itoa(r.Attempt))
 	l.sendTime(req)
 	if err := l.fences.DoTimeout(ctx, req, resp, fenceWait+replyMargin); err != nil {
-		return dispatch.StartReply{}, fault.Unavailable.Wrap(err, "worker %s cannot be asked", r.Worker)
+		return dispatch.StartReply{}, fault.Unavailable.Wrap(err, "fencing call to worker %s failed", r.Worker)
 	}
 	l.receiveTime(resp)
 	return readReply(resp, r)
 }
 
-// Poll asks a worker for its status and records its incarnation and clock. The report also shows starts whose reply is
-// missing, which are abandoned and so become in doubt. It does nothing while the worker is being asked already.
+// Poll requests a worker's status and records its incarnation and clock. The report also shows starts whose reply is
+// missing; they are abandoned and then in doubt. It returns an error while another poll of the worker is under way.
 func (l *Workers) Poll(ctx context.Context, w *machine.Worker, now func() time.Time) (WorkerStatus, error) {
 	link := l.link(w.Spec().ID)
 	if !link.startPoll() {
-		return WorkerStatus{}, fault.Unavailable.New("worker %s is being asked for its status", w.Spec().ID)
+		return WorkerStatus{}, fault.Unavailable.New("worker %s is already being polled", w.Spec().ID)
 	}
 	defer link.endPoll()
 	sent := time.Now()
@@ -240,19 +242,19 @@
 		return s, err
 	}
 	if missing := link.observe(s.Tasks, sent, time.Now()); missing != nil {
-		time.AfterFunc(missGrace, func() { link.abandon(missing) })
+		time.AfterFunc(replyGrace, func() { link.abandon(missing) })
 	}
 	w.ObserveBusy(s.Busy)
 	if spec := w.Spec(); s.Leaving && !spec.Leaving {
-		// The worker knows before the lagging list.
+		// The worker reports this before the lagging VM list does.
 		spec.Leaving = true
 		w.UpdateSpec(spec)
 	}
 	if time.Since(sent) > maxClockError && inc == w.Incarnation() {
 		return s, nil
 	}
-	// The clock was read before the report arrived. Taking the time of arrival makes the estimated clock late, so that a
-	// start-by time is never extended.
+	// The clock was read before the report arrived. Using the time of arrival makes the estimate of the worker's clock
+	// lag, so that a start-by time is never extended.
 	w.ObserveStatus(inc, time.Duration(s.ClockMS)*time.Millisecond, now())
 	return s, nil
 }
--- a/link/worker_test.go
+++ b/link/worker_test.go
@@ -21,8 +21,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// silentProxy passes connections on to a worker. After mute the connections that are open then pass nothing on, while
-// new ones work.
+// silentProxy forwards connections to a worker. mute makes the open connections silent, while later ones work.
 type silentProxy struct {
 	net.Listener
 	target string
@@ -53,18 +52,18 @@
 			_ = in.Close()
 			continue
 		}
-		fresh := false
+		afterMute := false
 		select {
 		case <-p.muted:
-			fresh = true
+			afterMute = true
 		default:
 		}
-		go p.copy(out, in, fresh)
-		go p.copy(in, out, fresh)
+		go p.copy(out, in, afterMute)
+		go p.copy(in, out, afterMute)
 	}
 }
 
-func (p *silentProxy) copy(to, from net.Conn, fresh bool) {
+func (p *silentProxy) copy(to, from net.Conn, afterMute bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -74,7 +73,7 @@
 		}
 		select {
 		case <-p.muted:
-			if !fresh {
+			if !afterMute {
 				continue
 			}
 		default:
@@ -85,7 +84,7 @@
 	}
 }
 
-type workerSite struct {
+type workerFixture struct {
 	worker  *standin.Worker
 	links   *link.Workers
 	machine *machine.Worker
@@ -93,12 +92,12 @@
 	release chan struct{}
 }
 
-// newWorkerSite starts a worker whose tasks run until they are released, behind the given address.
-func newWorkerSite(t *testing.T, address func(worker string) string) *workerSite {
+// newWorkerFixture starts a worker whose tasks run until release is closed. address returns the address to reach it at.
+func newWorkerFixture(t *testing.T, address func(worker string) string) *workerFixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &workerSite{release: make(chan struct{})}
+	s := &workerFixture{release: make(chan struct{})}
 	s.worker = standin.NewWorker(l, standin.WorkerOptions{
 		ID: "w", Slots: 8, Started: func(string) { s.starts.Add(1) },
 		Work: func(_, _ string, p []byte) ([]byte, time.Duration, error) {
@@ -118,7 +117,7 @@
 
 func direct(worker string) string { return worker }
 
-func (s *workerSite) request(seq uint64) dispatch.StartRequest {
+func (s *workerFixture) request(seq uint64) dispatch.StartRequest {
 	id := contract.TaskID{Job: contract.JobID{Domain: 1, Home: 7, Seq: seq}}
 	return dispatch.StartRequest{
 		Ticket: contract.StartTicket{Task: id, Service: "s", Kind: "k", Payload: []byte("p")}, Worker: "w",
@@ -126,11 +125,11 @@
 	}
 }
 
-// Guards against a home that waits for the lease of a task whose connection went silent while it ran, and against a
-// healthy long task that is cut by the same check.
+// Guards against a home that waits for the lease of a task to expire after its connection became silent, and against
+// aborting a healthy long task by the same check.
 func TestSilentStartIsFoundByStatusReports(t *testing.T) {
 	var proxy *silentProxy
-	s := newWorkerSite(t, func(worker string) string {
+	s := newWorkerFixture(t, func(worker string) string {
 		proxy = newSilentProxy(t, worker)
 		return proxy.Addr().String()
 	})
@@ -146,12 +145,12 @@
 		_, err := s.links.Poll(t.Context(), s.machine, time.Now)
 		require.NoError(t, err)
 	}
-	require.Empty(t, result, "the task runs and is reported")
+	require.Empty(t, result, "the start must not be abandoned while its task is reported as running")
 	proxy.mute()
 	close(s.release)
 	for len(result) == 0 {
 		<-ticker.C
-		// The connection of the poll is silent as well at first.
+		// At first the connection of the polls is silent as well.
 		_, _ = s.links.Poll(t.Context(), s.machine, time.Now)
 	}
 	require.Equal(t, fault.InDoubt.FullName(), fault.Code(<-result))
@@ -161,8 +160,8 @@
 	require.EqualValues(t, 1, s.starts.Load())
 }
 
-// Guards against a false proof, and against a repetition by the library, when the worker closes an idle connection in
-// the moment of a start: the start is in doubt, and the fence proves that it never began.
+// Guards against a start that is treated as not sent, or retried by the HTTP library, when the worker closes an idle
+// connection just as the start is written: the start is in doubt, and the fence proves that it never began.
 func TestStartOnDeadIdleConnectionIsInDoubt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -174,15 +173,15 @@
 			if err != nil {
 				return
 			}
-			go answerOnce(c, &requests)
+			go replyOnce(c, &requests)
 		}
 	}()
-	s := newWorkerSite(t, direct)
+	s := newWorkerFixture(t, direct)
 	close(s.release)
 	real := s.machine.Spec()
-	dying := real
-	dying.Address = l.Addr().String()
-	s.machine.UpdateSpec(dying)
+	closing := real
+	closing.Address = l.Addr().String()
+	s.machine.UpdateSpec(closing)
 	_, err = s.links.Start(t.Context(), s.request(1))
 	require.NoError(t, err)
 	_, err = s.links.Start(t.Context(), s.request(2))
@@ -196,8 +195,8 @@
 	require.Zero(t, s.starts.Load())
 }
 
-// answerOnce answers the first request of a connection and closes the connection on the second.
-func answerOnce(c net.Conn, requests *atomic.Int32) {
+// replyOnce replies to the first request of a connection and closes the connection on the second.
+func replyOnce(c net.Conn, requests *atomic.Int32) {
 	defer func() { _ = c.Close() }()
 	for first := true; ; first = false {
 		var seen strings.Builder
@@ -217,9 +216,9 @@
 	}
 }
 
-// Guards against a start in doubt where nothing was written: no connection could be opened, or none was free.
+// Guards against a start in doubt although nothing was written: no connection could be opened, or none was free.
 func TestUnsentStartIsProvenNotStarted(t *testing.T) {
-	s := newWorkerSite(t, direct)
+	s := newWorkerFixture(t, direct)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed := s.machine.Spec()
@@ -244,9 +243,9 @@
 	close(s.release)
 }
 
-// Guards against a start by a process that was paused between its decision and the sending.
+// Guards against a late start by a process that was paused between the decision and the sending.
 func TestWorkerRejectsLateStart(t *testing.T) {
-	s := newWorkerSite(t, direct)
+	s := newWorkerFixture(t, direct)
 	close(s.release)
 	r := s.request(1)
 	r.StartBy = time.Now().Add(-time.Millisecond)
@@ -256,9 +255,9 @@
 	require.Zero(t, s.starts.Load())
 }
 
-// Guards against a rejection as duplicate that is taken for a proof: the worker runs or ran the task.
+// Guards against treating a rejection as duplicate as proof of no start: the worker runs or ran the task.
 func TestDuplicateStartIsInDoubt(t *testing.T) {
-	s := newWorkerSite(t, direct)
+	s := newWorkerFixture(t, direct)
 	close(s.release)
 	_, err := s.links.Start(t.Context(), s.request(1))
 	require.NoError(t, err)
@@ -267,9 +266,10 @@
 	require.EqualValues(t, 1, s.starts.Load())
 }
 
-// Guards against new work for a worker that says it is leaving before the list does, on slots that are still held.
+// Guards against a start on a worker that reports that it is leaving before the VM list does, on slots that the home
+// still holds.
 func TestLeavingWorkerGetsNoStart(t *testing.T) {
-	s := newWorkerSite(t, direct)
+	s := newWorkerFixture(t, direct)
 	close(s.release)
 	s.worker.SetLeaving()
 	_, err := s.links.Poll(t.Context(), s.machine, time.Now)
--- a/link/workerlink.go
+++ b/link/workerlink.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// pollMargin is the least time between the sending of a start and that of a status poll for the poll to count: an
+	// pollMargin is the minimum time from the sending of a start to that of a status poll that counts for it: an
 	// earlier poll may have overtaken the start.
 	pollMargin = 200 * time.Millisecond
-	// missGrace is the time that a reply may take after a status report in which its task is not running any more.
-	// With a poll every second a silent connection is found within 1.5 s of the end of its task.
-	missGrace = 250 * time.Millisecond
-	// unreachableAfter is the time since the last status report after which a failed poll puts all starts in doubt.
+	// replyGrace is how long a reply may take after a status report that no longer lists its task. With a poll every
+	// second, a silent connection is detected within 1.5 s of the end of its task.
+	replyGrace = 250 * time.Millisecond
+	// unreachableAfter is the time without a status report after which a failed poll puts all starts in doubt.
 	unreachableAfter = 1500 * time.Millisecond
 )
 
-// workerLink holds the connections for starts to one worker and the starts that wait for a reply. mu guards all
-// fields.
+// workerLink holds the connections for starts to one worker and the starts that wait for their replies. mu guards all
+// fields below it.
 type workerLink struct {
 	limit int
 
-	mu       sync.Mutex
-	address  string
-	idle     []*startConn
-	inFlight map[contract.TaskID]*pendingStart
-	polling  bool
-	reported time.Time // last status report
+	mu         sync.Mutex
+	address    string
+	idle       []*startConn
+	inFlight   map[contract.TaskID]*pendingStart
+	polling    bool
+	lastReport time.Time
 }
 
 // pendingStart is a start that waits for its reply.
 type pendingStart struct {
-	conn   *startConn
-	sent   time.Time
-	missed bool
+	conn *startConn
+	sent time.Time
+	// overdue means that a status report no longer lists the task.
+	overdue bool
 }
 
 func newWorkerLink(limit int) *workerLink {
 	return &workerLink{limit: limit, inFlight: make(map[contract.TaskID]*pendingStart)}
 }
 
-// begin reserves a connection for a start, or returns nil at the limit.
+// begin reserves a connection for a start. It returns nil at the limit, or if a start of the task is pending.
 func (l *workerLink) begin(id contract.TaskID, address string, now time.Time) *pendingStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,31 +53,31 @@
 	if l.address != address {
 		l.address, l.idle = address, nil
 	}
-	f := &pendingStart{sent: now}
+	p := &pendingStart{sent: now}
 	if n := len(l.idle); n > 0 {
-		f.conn = l.idle[n-1]
+		p.conn = l.idle[n-1]
 		l.idle = l.idle[:n-1]
-		f.conn.reuse()
+		p.conn.reuse()
 	} else {
-		f.conn = newStartConn(address)
+		p.conn = newStartConn(address)
 	}
-	l.inFlight[id] = f
-	return f
+	l.inFlight[id] = p
+	return p
 }
 
-// end gives the connection of a start back.
-func (l *workerLink) end(id contract.TaskID, f *pendingStart, address string) {
+// end returns the connection of a start to the idle ones, or closes it.
+func (l *workerLink) end(id contract.TaskID, p *pendingStart, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.inFlight, id)
 	if l.address == address && len(l.idle) < maxIdleStarts {
-		l.idle = append(l.idle, f.conn)
+		l.idle = append(l.idle, p.conn)
 		return
 	}
-	f.conn.host.CloseIdleConnections()
+	p.conn.host.CloseIdleConnections()
 }
 
-// startPoll returns false while another poll of the worker is under way.
+// startPoll marks the worker as being polled. It returns false while another poll is under way.
 func (l *workerLink) startPoll() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,12 +94,12 @@
 	l.polling = false
 }
 
-// observe takes over a status report and returns the starts that the worker does not run and should have replied to.
-// A nil list says that the worker does not report its tasks.
+// observe records a status report and returns the starts whose tasks are not running, so that the worker should have
+// replied. A nil list means that the worker does not report its tasks.
 func (l *workerLink) observe(tasks []string, sent, now time.Time) map[contract.TaskID]*pendingStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reported = now
+	l.lastReport = now
 	if tasks == nil || len(l.inFlight) == 0 {
 		return nil
 	}
@@ -107,43 +108,43 @@
 		running[id] = true
 	}
 	var missing map[contract.TaskID]*pendingStart
-	for id, f := range l.inFlight {
-		if f.missed || sent.Sub(f.sent) < pollMargin || running[id.String()] {
+	for id, p := range l.inFlight {
+		if p.overdue || sent.Sub(p.sent) < pollMargin || running[id.String()] {
 			continue
 		}
-		f.missed = true
+		p.overdue = true
 		if missing == nil {
 			missing = make(map[contract.TaskID]*pendingStart)
 		}
-		missing[id] = f
+		missing[id] = p
 	}
 	return missing
 }
 
-// unreachable returns all starts if the worker has not reported for long enough.
+// unreachable returns the starts that have waited for unreachableAfter without a status report of the worker.
 func (l *workerLink) unreachable(now time.Time) map[contract.TaskID]*pendingStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make(map[contract.TaskID]*pendingStart)
-	for id, f := range l.inFlight {
-		since := f.sent
-		if l.reported.After(since) {
-			since = l.reported
+	for id, p := range l.inFlight {
+		since := p.sent
+		if l.lastReport.After(since) {
+			since = l.lastReport
 		}
 		if now.Sub(since) >= unreachableAfter {
-			all[id] = f
+			all[id] = p
 		}
 	}
 	return all
 }
 
-// abandon closes the connections of starts that still wait. Their outcome is then in doubt.
+// abandon closes the connections of starts that are still pending. Their outcome is then in doubt.
 func (l *workerLink) abandon(starts map[contract.TaskID]*pendingStart) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, f := range starts {
-		if l.inFlight[id] == f {
-			f.conn.abandon()
+	for id, p := range starts {
+		if l.inFlight[id] == p {
+			p.conn.abandon()
 		}
 	}
 }
