--- a/rpc/badinput_test.go
+++ b/rpc/badinput_test.go
@@ -24,7 +24,7 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-func deploy(t *testing.T) *load.Deployment {
+func startDeployment(t *testing.T) *load.Deployment {
 	d, err := load.StartDeployment(load.DeploymentOptions{
 		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 4, Services: load.DeploymentServices, Work: standin.DeploymentWork,
 		Logger: slog.New(slog.DiscardHandler),
@@ -34,7 +34,7 @@
 	return d
 }
 
-func stubOf(t *testing.T, d *load.Deployment) api.DispatcherClient {
+func dial(t *testing.T, d *load.Deployment) api.DispatcherClient {
 	conn, err := grpc.NewClient(d.Callers()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(64<<20)))
 	require.NoError(t, err)
@@ -42,7 +42,7 @@
 	return api.NewDispatcherClient(conn)
 }
 
-func invalid(d *load.Deployment) int64 {
+func invalidRequests(d *load.Deployment) int64 {
 	return metrics.GetOrRegisterCounter(metric.InvalidRequests, d.Entries[0].Metrics).Count()
 }
 
@@ -56,20 +56,20 @@
 	return out
 }
 
-// Guards against malformed calls that are counted nowhere, that end without a clear type, or that are taken for a
-// statement on whether the job ran.
+// Guards against malformed calls that are not counted, that return an error of another type, or that are answered as if
+// the job had been refused.
 func TestMalformedCallsAreRefusedAndCounted(t *testing.T) {
-	d := deploy(t)
-	stub := stubOf(t, d)
+	d := startDeployment(t)
+	stub := dial(t, d)
 	ctx := context.Background()
 	ids, err := stub.CreateJobs(ctx, &api.CreateJobsRequest{Count: 1})
 	require.NoError(t, err)
 	id := ref(ids.GetJobIds()[0])
 	call := func(name string, fn func() error) {
-		before := invalid(d)
+		before := invalidRequests(d)
 		err := fn()
 		require.Equal(t, codes.InvalidArgument, status.Code(err), "%s: %v", name, err)
-		require.Equal(t, before+1, invalid(d), name)
+		require.Equal(t, before+1, invalidRequests(d), name)
 	}
 	submit := func(r *api.SubmitRequest) func() error {
 		return func() error { _, err := stub.Submit(ctx, r); return err }
@@ -93,10 +93,10 @@
 	})
 }
 
-// Guards against jobs that cannot run and are accepted or lost, and against refusals of a valid job that follows.
+// Guards against invalid jobs that are accepted or get no answer, and against refusing a valid job after them.
 func TestUnacceptableJobsAreRefusedNotRun(t *testing.T) {
-	d := deploy(t)
-	stub := stubOf(t, d)
+	d := startDeployment(t)
+	stub := dial(t, d)
 	ctx := context.Background()
 	const service, kind = "glashaus.v1.Booking", "PriceHire"
 	for name, r := range map[string]*api.SubmitRequest{
@@ -109,21 +109,21 @@
 	} {
 		ids, err := stub.CreateJobs(ctx, &api.CreateJobsRequest{Count: 1})
 		require.NoError(t, err)
-		before := invalid(d)
+		before := invalidRequests(d)
 		r.Job = ref(ids.GetJobIds()[0])
 		a, err := stub.Submit(ctx, r)
 		require.NoError(t, err, name)
 		require.Equal(t, api.Verdict_VERDICT_REFUSED, a.GetVerdict(), name)
 		require.NotEmpty(t, a.GetDetail(), name)
-		require.Equal(t, before+1, invalid(d), name)
+		require.Equal(t, before+1, invalidRequests(d), name)
 		st, err := stub.Status(ctx, &api.StatusRequest{Job: r.Job})
 		require.NoError(t, err, name)
 		require.Equal(t, api.Verdict_VERDICT_REFUSED, st.GetVerdict(), name)
 	}
-	before := invalid(d)
+	before := invalidRequests(d)
 	_, err := stub.Submit(ctx, &api.SubmitRequest{Service: service, Tasks: tasks(200, kind, contract.MaxPayloadBytes)})
 	require.Equal(t, codes.ResourceExhausted, status.Code(err))
-	require.Eventually(t, func() bool { return invalid(d) == before+1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return invalidRequests(d) == before+1 }, time.Minute, time.Millisecond)
 
 	client, err := rpc.NewClient(d.Callers(), nil)
 	require.NoError(t, err)
@@ -148,10 +148,10 @@
 	require.Equal(t, fault.Invalid.FullName(), fault.Code(err), "a task added after submission")
 }
 
-// Guards against a malformed resubmission that is answered "not run" although the job ran.
+// Guards against a malformed resubmission that is answered as refused although the job ran.
 func TestMalformedResubmissionDoesNotDenyTheJob(t *testing.T) {
-	d := deploy(t)
-	stub := stubOf(t, d)
+	d := startDeployment(t)
+	stub := dial(t, d)
 	ctx := context.Background()
 	ids, err := stub.CreateJobs(ctx, &api.CreateJobsRequest{Count: 1})
 	require.NoError(t, err)
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	idBlock = 64
-	// awaitSlice bounds one waiting call, so that a silent connection is noticed.
-	awaitSlice = 2 * time.Second
-	callMargin = time.Second
-	// retryPause grows with each attempt up to maxRetryPause.
-	retryPause    = 50 * time.Millisecond
-	maxRetryPause = 500 * time.Millisecond
+	idBlockSize = 64
+	// maxCallWait bounds the wait within one call, so that a silent connection is detected.
+	maxCallWait = 2 * time.Second
+	callMargin  = time.Second
+	// minRetryDelay doubles with each attempt up to maxRetryDelay.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	maxAttempts   = 200
-	// maxReplaced bounds the fresh ids used for one job.
-	maxReplaced = 8
+	// maxIDsPerJob bounds the ids that Run tries for one job.
+	maxIDsPerJob = 8
 )
 
-// Client submits jobs to a set of entry VMs. Its mutex guards the ids fetched ahead and the preferred address.
+// Client submits jobs to a set of entry VMs. mu guards the prefetched ids and the preferred address.
 type Client struct {
 	conns []*grpc.ClientConn
 
@@ -41,7 +41,7 @@
 	ids       []string
 }
 
-// NewClient returns a client of the entry VMs at the given addresses. Credentials are optional.
+// NewClient returns a client of the entry VMs at the given addresses. creds may be nil.
 func NewClient(addresses []string, creds credentials.TransportCredentials) (*Client, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -49,7 +49,8 @@
 	c := &Client{}
 	for _, a := range addresses {
 		conn, err := grpc.NewClient(a, grpc.WithTransportCredentials(creds),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)))
+			grpc.WithDefaultCallOptions(
+				grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)))
 		if err != nil {
 			c.Close()
 			return nil, err
@@ -59,10 +60,10 @@
 	return c, nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	for _, conn := range c.conns {
-		// A connection that was closed before is as good as closed.
+		// The only error is that the connection is already closed.
 		_ = conn.Close()
 	}
 }
@@ -73,8 +74,8 @@
 	return api.NewDispatcherClient(c.conns[c.preferred]), c.preferred
 }
 
-// turn moves on to the next entry VM, unless another call has done so since this one began.
-func (c *Client) turn(from int) {
+// failOver switches to the next entry VM, unless another call has already done so since this one began.
+func (c *Client) failOver(from int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.preferred == from {
@@ -87,9 +88,9 @@
 	text, ok := c.takeID()
 	if !ok {
 		var out *api.CreateJobsResponse
-		err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+		err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
 			var err error
-			out, err = d.CreateJobs(ctx, &api.CreateJobsRequest{Count: idBlock})
+			out, err = d.CreateJobs(ctx, &api.CreateJobsRequest{Count: idBlockSize})
 			return err
 		})
 		if err != nil {
@@ -114,7 +115,8 @@
 	return id, true
 }
 
-// dropIDs forgets the ids fetched ahead from a home that does not accept jobs any more.
+// dropIDs discards the prefetched ids of a home that no longer accepts jobs. A job's home is the entry VM that minted
+// its id and answers for it.
 func (c *Client) dropIDs(home contract.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,34 +126,34 @@
 	})
 }
 
-// Do submits a job and waits for its final answer, resubmitting under the same id to other entry VMs as needed.
+// Do submits a job and waits for its final answer. It resubmits the job under the same id to other entry VMs as needed.
 func (c *Client) Do(ctx context.Context, s contract.Submission) (contract.Answer, error) {
 	answer, _, err := c.do(ctx, s)
 	return answer, err
 }
 
-// do returns the number of copies that were sent as well.
+// do is Do, and also returns the number of copies that were sent.
 func (c *Client) do(ctx context.Context, s contract.Submission) (contract.Answer, int, error) {
 	sent := 0
 	var answer contract.Answer
-	err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+	err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
 		sent++
 		var err error
 		answer, err = submit(ctx, d, s)
 		return err
 	})
 	if provenNotRun(answer, err, true) {
-		// The home accepts nothing any more, so that its other ids would only fail the same way.
+		// The home no longer accepts jobs, so that its other ids would fail in the same way.
 		c.dropIDs(s.Ref.ID)
 	}
 	return answer, sent, err
 }
 
-// Run submits a job under an id of the client's own choice and waits for its final answer, which names the id. The job
-// is submitted under another id only when it is proven that it did not run under the first: the home refused it because
-// it stops or has stopped, or the only copy of the submission met a home that is gone.
+// Run submits a job under an id of the client's choice and waits for its final answer, which contains the id. The job
+// is submitted under another id only if it is proven not to have run under the previous one: the home refused it
+// because it is stopping or has stopped, or the only copy of the submission was sent after the home had died.
 func (c *Client) Run(ctx context.Context, s contract.Submission) (contract.Answer, error) {
-	for range maxReplaced {
+	for range maxIDsPerJob {
 		id, err := c.NewJob(ctx)
 		if err != nil {
 			return contract.Answer{}, err
@@ -162,18 +164,18 @@
 			return answer, err
 		}
 	}
-	return contract.Answer{}, fault.Unavailable.New("every entry VM that was asked stops")
+	return contract.Answer{}, fault.Unavailable.New("all entry VMs that were tried are stopping")
 }
 
 func submit(ctx context.Context, d api.DispatcherClient, s contract.Submission) (contract.Answer, error) {
-	a, err := d.Submit(ctx, wire.SubmissionTo(s, awaitSlice))
+	a, err := d.Submit(ctx, wire.SubmissionTo(s, maxCallWait))
 	if err != nil {
 		return contract.Answer{}, err
 	}
 	return finalAnswer(a)
 }
 
-// finalAnswer decodes an answer. A pending one is reported as errPending.
+// finalAnswer decodes an answer. It returns errPending for a pending one.
 func finalAnswer(a *api.Answer) (contract.Answer, error) {
 	answer, err := wire.AnswerFrom(a)
 	if err == nil && answer.Verdict == contract.VerdictPending {
@@ -182,8 +184,8 @@
 	return answer, err
 }
 
-// provenNotRun reports whether the job did not run and may be submitted under another id. first says that no other copy
-// of the submission can exist.
+// provenNotRun reports whether the job is proven not to have run, so that it may be submitted under another id. first
+// means that no other copy of the submission exists.
 func provenNotRun(a contract.Answer, err error, first bool) bool {
 	if err != nil {
 		return first && fault.Code(err) == fault.Expired.FullName() && fault.Reason(err) == fault.ReasonIDTooOld
@@ -197,8 +199,8 @@
 // Await waits for the final answer of a submitted job.
 func (c *Client) Await(ctx context.Context, r contract.JobRef) (contract.Answer, error) {
 	var answer contract.Answer
-	err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
-		a, err := d.Await(ctx, &api.AwaitRequest{Job: wire.RefTo(r), WaitMs: awaitSlice.Milliseconds()})
+	err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+		a, err := d.Await(ctx, &api.AwaitRequest{Job: wire.RefTo(r), WaitMs: maxCallWait.Milliseconds()})
 		if err != nil {
 			return err
 		}
@@ -208,10 +210,10 @@
 	return answer, err
 }
 
-// Cancel withdraws the tasks of a job that have not started.
+// Cancel cancels the tasks of a job that have not started.
 func (c *Client) Cancel(ctx context.Context, r contract.JobRef) (contract.Answer, error) {
 	var answer contract.Answer
-	err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+	err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
 		a, err := d.Cancel(ctx, &api.CancelRequest{Job: wire.RefTo(r)})
 		if err != nil {
 			return err
@@ -222,10 +224,10 @@
 	return answer, err
 }
 
-// Reconfigure changes a job that has not ended.
+// Reconfigure changes the deadline or priority of a job that has not ended.
 func (c *Client) Reconfigure(ctx context.Context, r contract.JobRef, ch contract.Change) (*api.JobStatus, error) {
 	var out *api.JobStatus
-	err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+	err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
 		var err error
 		out, err = d.Reconfigure(ctx, &api.ReconfigureRequest{
 			Job: wire.RefTo(r), DeadlineMs: ch.Deadline.Milliseconds(), Priority: int32(ch.Priority),
@@ -238,7 +240,7 @@
 // Status reports a job's progress.
 func (c *Client) Status(ctx context.Context, r contract.JobRef) (*api.JobStatus, error) {
 	var out *api.JobStatus
-	err := c.each(ctx, func(ctx context.Context, d api.DispatcherClient) error {
+	err := c.withRetry(ctx, func(ctx context.Context, d api.DispatcherClient) error {
 		var err error
 		out, err = d.Status(ctx, &api.StatusRequest{Job: wire.RefTo(r)})
 		return err
@@ -248,13 +250,13 @@
 
 var errPending = fault.Unavailable.New("the answer is not final yet")
 
-// each calls fn until it succeeds or fails for good. A call that may succeed elsewhere or later is repeated at the
-// next entry VM; all calls of this client are idempotent.
-func (c *Client) each(ctx context.Context, fn func(context.Context, api.DispatcherClient) error) error {
+// withRetry calls fn until it succeeds or fails permanently. A call that may succeed elsewhere or later is retried at
+// the next entry VM; all calls of this client are idempotent.
+func (c *Client) withRetry(ctx context.Context, fn func(context.Context, api.DispatcherClient) error) error {
 	var err error
-	pause := retryPause
+	delay := minRetryDelay
 	for range maxAttempts {
-		callCtx, cancel := context.WithTimeout(ctx, awaitSlice+callMargin)
+		callCtx, cancel := context.WithTimeout(ctx, maxCallWait+callMargin)
 		stub, at := c.stub()
 		err = errorFrom(fn(callCtx, stub))
 		cancel()
@@ -264,21 +266,21 @@
 		if errors.Is(err, errPending) {
 			continue
 		}
-		if !repeatable(err) {
+		if !isRetryable(err) {
 			return err
 		}
-		c.turn(at)
+		c.failOver(at)
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		pause = min(2*pause, maxRetryPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 	return err
 }
 
-func repeatable(err error) bool {
+func isRetryable(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Canceled:
 		return true
--- a/rpc/client_test.go
+++ b/rpc/client_test.go
@@ -15,15 +15,15 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// fakeJobs is an entry VM that answers submissions with a function and counts them by id.
+// fakeJobs is an entry VM that answers submissions by calling answer and counts them by job id.
 type fakeJobs struct {
 	Jobs
 	home   uint64
 	answer func(s contract.Submission) (contract.Answer, error)
 
-	mu   sync.Mutex
-	seq  uint64
-	seen map[contract.JobID]int
+	mu          sync.Mutex
+	seq         uint64
+	submissions map[contract.JobID]int
 }
 
 func (f *fakeJobs) Create(_ context.Context, n int) ([]contract.JobID, error) {
@@ -40,7 +40,7 @@
 func (f *fakeJobs) Submit(_ context.Context, s contract.Submission, _ time.Duration) (contract.Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen[s.Ref.ID]++
+	f.submissions[s.Ref.ID]++
 	return f.answer(s)
 }
 
@@ -53,12 +53,12 @@
 
 var oneTask = contract.Submission{Tasks: make([]contract.TaskSpec, 1)}
 
-// start serves the given entry VMs and returns a client of them.
-func start(t *testing.T, vms ...*fakeJobs) *Client {
+// startClient serves the given entry VMs and returns a client of them.
+func startClient(t *testing.T, vms ...*fakeJobs) *Client {
 	t.Helper()
 	var addresses []string
 	for i, vm := range vms {
-		vm.home, vm.seen = uint64(i+1), make(map[contract.JobID]int)
+		vm.home, vm.submissions = uint64(i+1), make(map[contract.JobID]int)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		s := Serve(l, vm, time.Now, nil, metrics.NewRegistry())
@@ -71,7 +71,8 @@
 	return c
 }
 
-// Guards against a second run of a job whose first copy may have reached its home: after a lost reply the id must stay.
+// Guards against a second run of a job whose first copy may have reached its home: after a lost reply the client must
+// keep the id.
 func TestClientKeepsIDAfterLostReply(t *testing.T) {
 	lost := &fakeJobs{answer: func(contract.Submission) (contract.Answer, error) {
 		return contract.Answer{}, fault.Unavailable.New("reply lost")
@@ -79,14 +80,15 @@
 	other := &fakeJobs{answer: func(s contract.Submission) (contract.Answer, error) {
 		return contract.UnknownAnswer(s.Ref.ID, 1, fault.ReasonHomeGone, "gone"), nil
 	}}
-	a, err := start(t, lost, other).Run(t.Context(), oneTask)
+	a, err := startClient(t, lost, other).Run(t.Context(), oneTask)
 	require.NoError(t, err)
 	require.Equal(t, contract.VerdictFailed, a.Verdict)
-	require.Equal(t, map[contract.JobID]int{a.Job: 1}, lost.seen)
-	require.Equal(t, map[contract.JobID]int{a.Job: 1}, other.seen)
+	require.Equal(t, map[contract.JobID]int{a.Job: 1}, lost.submissions)
+	require.Equal(t, map[contract.JobID]int{a.Job: 1}, other.submissions)
 }
 
-// Guards against a caller left without service by a home that stops or is gone before the first copy of a job was sent.
+// Guards against a job that fails although its home stopped or died before the first copy was sent: the client must
+// submit it under another id.
 func TestClientReplacesIDThatDidNotRun(t *testing.T) {
 	for name, first := range map[string]func(contract.Submission) (contract.Answer, error){
 		"draining": func(contract.Submission) (contract.Answer, error) {
@@ -107,30 +109,30 @@
 				}
 				return complete(s)
 			}
-			a, err := start(t, vm).Run(t.Context(), oneTask)
+			a, err := startClient(t, vm).Run(t.Context(), oneTask)
 			require.NoError(t, err)
 			require.Equal(t, contract.VerdictComplete, a.Verdict)
-			require.Len(t, vm.seen, 2)
-			require.Equal(t, 1, vm.seen[contract.JobID{Domain: 1, Home: 1, Seq: 1}])
+			require.Len(t, vm.submissions, 2)
+			require.Equal(t, 1, vm.submissions[contract.JobID{Domain: 1, Home: 1, Seq: 1}])
 		})
 	}
 }
 
-// Guards against doubled work: a job whose outcome is unknown is never submitted under another id, nor is one whose id
-// the caller has chosen.
+// Guards against a job that runs twice: a job whose outcome is unknown must not be submitted under another id, nor must
+// one whose id the caller has chosen.
 func TestClientNeverReplacesIDThatMayHaveRun(t *testing.T) {
 	reason := "outcome unknown"
 	vm := &fakeJobs{answer: func(s contract.Submission) (contract.Answer, error) {
 		return contract.UnknownAnswer(s.Ref.ID, 1, reason, "gone"), nil
 	}}
-	c := start(t, vm)
+	c := startClient(t, vm)
 	a, err := c.Run(t.Context(), oneTask)
 	require.NoError(t, err)
-	require.Len(t, vm.seen, 1)
+	require.Len(t, vm.submissions, 1)
 	reason = fault.ReasonHomeGone
 	again := oneTask
 	again.Ref.ID = a.Job
 	_, err = c.Do(t.Context(), again)
 	require.NoError(t, err)
-	require.Equal(t, map[contract.JobID]int{a.Job: 2}, vm.seen)
+	require.Equal(t, map[contract.JobID]int{a.Job: 2}, vm.submissions)
 }
--- a/rpc/configuration.go
+++ b/rpc/configuration.go
@@ -15,7 +15,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Configured is implemented by what shows its configuration to callers, for reading only.
+// Configured is the read-only source of the configuration that is shown to callers.
 type Configured interface {
 	Configuration() (machine.EntryVM, contract.ConfigView)
 }
@@ -26,7 +26,9 @@
 }
 
 // Show implements the generated interface.
-func (s configurationServer) Show(_ context.Context, r *api.ShowConfigurationRequest) (*api.ShowConfigurationResponse, error) {
+func (s configurationServer) Show(
+	_ context.Context, r *api.ShowConfigurationRequest,
+) (*api.ShowConfigurationResponse, error) {
 	vm, v := s.source.Configuration()
 	out := &api.ShowConfigurationResponse{
 		Vm: vm.ID, Incarnation: uint64(vm.Incarnation), Known: v.Known, NextOffset: v.Next, Revision: v.Revision,
@@ -43,8 +45,10 @@
 	return out, nil
 }
 
-// ShowConfiguration asks one entry VM for its configuration. Credentials are optional.
-func ShowConfiguration(ctx context.Context, address string, positionOnly bool, creds credentials.TransportCredentials) (*api.ShowConfigurationResponse, error) {
+// ShowConfiguration requests the configuration of one entry VM. creds may be nil.
+func ShowConfiguration(
+	ctx context.Context, address string, positionOnly bool, creds credentials.TransportCredentials,
+) (*api.ShowConfigurationResponse, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
@@ -53,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The reply has been read by then.
+	// The reply has already been read, so an error of closing does not matter.
 	defer func() { _ = conn.Close() }()
 	return api.NewConfigurationClient(conn).Show(ctx, &api.ShowConfigurationRequest{PositionOnly: positionOnly})
 }
--- a/rpc/doc.go
+++ b/rpc/doc.go
@@ -1,3 +1,3 @@
-// Package rpc is the callers' gRPC front end: the server side, and a client that fetches job ids ahead of need and
-// turns to another entry VM when one is lost.
+// Package rpc is the gRPC front end for callers: the server, and a client that prefetches job ids and fails over to
+// another entry VM.
 package rpc
--- a/rpc/errors.go
+++ b/rpc/errors.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// errorDomain marks the error details that this package writes.
+	// errorDomain identifies the error details that this package writes.
 	errorDomain = "cicadadale"
 	reasonField = "reason"
 )
 
-// codesByFault gives the status code of each type of error; others are internal.
+// codesByFault maps error types to status codes. All other types map to Internal.
 var codesByFault = map[string]codes.Code{
 	fault.Invalid.FullName():       codes.InvalidArgument,
 	fault.UnknownJob.FullName():    codes.NotFound,
@@ -27,7 +27,7 @@
 	fault.NeverAccepted.FullName(): codes.FailedPrecondition,
 }
 
-// statusOf writes an error. Its type and reason travel in the details, so that callers of this package get it back.
+// statusOf converts an error to a gRPC status. The details carry its type and reason, so that errorFrom can restore it.
 func statusOf(err error) error {
 	code, ok := codesByFault[fault.Code(err)]
 	if !ok {
@@ -45,8 +45,8 @@
 	return s.Err()
 }
 
-// errorFrom restores the type of an error that statusOf wrote. Other errors stay as they are: they come from the
-// connection and prove nothing.
+// errorFrom restores the type of an error that statusOf converted. It returns other errors unchanged: they come from
+// the connection and prove nothing about the call.
 func errorFrom(err error) error {
 	s, ok := status.FromError(err)
 	if err == nil || !ok {
--- a/rpc/job.go
+++ b/rpc/job.go
@@ -12,29 +12,28 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// JobOptions describe a job to the dispatcher. All fields may be left out.
+// JobOptions are the optional properties of a job.
 type JobOptions struct {
 	Customer string
 	Team     string
-	// Deadline is the time allowed from submission to the whole answer; 0 takes the deadline of the request kinds.
+	// Deadline is the time from submission to the complete answer; 0 uses the deadline of the request kinds.
 	Deadline time.Duration
-	// Priority orders the customer's own jobs; the highest comes first.
+	// Priority orders the jobs of one customer; the highest runs first.
 	Priority int
 }
 
-// Job is a batch of tasks with one answer, for use by generated stubs. Its mutex guards the submission and the
-// answer.
+// Job is a batch of tasks with one answer, for use by generated stubs. mu guards the fields below it.
 type Job struct {
 	client *Client
 
 	mu         sync.Mutex
 	submission contract.Submission
-	sealed     bool
-	broken     error
+	submitted  bool
+	addErr     error // first error of add
 	answer     *contract.Answer
 }
 
-// NewJob mints an id for a job of a service.
+// NewJob returns a job of a service with a fresh id.
 func NewJob(ctx context.Context, c *Client, service string, o JobOptions) (*Job, error) {
 	id, err := c.NewJob(ctx)
 	if err != nil {
@@ -46,10 +45,10 @@
 	}}, nil
 }
 
-// ID returns the job's id, with which any process may ask after the job.
+// ID returns the job's id, with which any process can request the job's status and answer.
 func (j *Job) ID() contract.JobID { return j.submission.Ref.ID }
 
-// Submission returns the job in untyped form, to submit it again through another client.
+// Submission returns the job in untyped form, so that it can be resubmitted through another client.
 func (j *Job) Submission() contract.Submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -58,33 +57,33 @@
 	return s
 }
 
-// add appends a task and returns its index. A task that cannot be added breaks the job, which Submit reports.
+// add appends a task and returns its index. If that fails, Submit returns the error.
 func (j *Job) add(kind string, request proto.Message) int {
 	payload, err := proto.Marshal(request)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	index := len(j.submission.Tasks)
 	switch {
-	case j.broken != nil:
+	case j.addErr != nil:
 	case err != nil:
-		j.broken = fault.Invalid.Wrap(err, "task %d, kind %s", index, kind)
-	case j.sealed:
-		j.broken = fault.With(fault.Invalid, "submitted", "task %d, kind %s: the job has been submitted", index, kind)
+		j.addErr = fault.Invalid.Wrap(err, "task %d, kind %s", index, kind)
+	case j.submitted:
+		j.addErr = fault.With(fault.Invalid, "submitted", "task %d, kind %s: the job has been submitted", index, kind)
 	default:
 		j.submission.Tasks = append(j.submission.Tasks, contract.TaskSpec{Kind: kind, Payload: payload})
 	}
 	return index
 }
 
-// Submit hands the job over and waits for its final answer. It may be repeated after an error that does not prove that
-// nothing ran; no task of the job runs twice.
+// Submit submits the job and waits for its final answer. It may be called again after an error that leaves open whether
+// the job ran; no task of the job runs twice.
 func (j *Job) Submit(ctx context.Context) (contract.Answer, error) {
 	j.mu.Lock()
-	j.sealed = true
-	s, broken := j.submission, j.broken
+	j.submitted = true
+	s, addErr := j.submission, j.addErr
 	j.mu.Unlock()
-	if broken != nil {
-		return contract.Answer{}, broken
+	if addErr != nil {
+		return contract.Answer{}, addErr
 	}
 	a, err := j.client.Do(ctx, s)
 	if err != nil {
@@ -96,7 +95,7 @@
 	return a, nil
 }
 
-// Cancel withdraws the tasks that have not started.
+// Cancel cancels the tasks that have not started.
 func (j *Job) Cancel(ctx context.Context) (contract.Answer, error) {
 	return j.client.Cancel(ctx, j.submission.Ref)
 }
@@ -122,10 +121,10 @@
 	return Task[R]{job: j, index: j.add(kind, request)}
 }
 
-// Index returns the task's place in the job.
+// Index returns the task's index in the job.
 func (t Task[R]) Index() int { return t.index }
 
-// Report returns what is known of the task's execution once the job has its answer.
+// Report returns the report on the task's execution. It is available once the job has its answer.
 func (t Task[R]) Report() (contract.TaskReport, bool) {
 	t.job.mu.Lock()
 	defer t.job.mu.Unlock()
@@ -136,8 +135,8 @@
 	return a.Reports[t.index], true
 }
 
-// Result returns the typed result. A job that is not complete gives no results: the error says whether this task was
-// proven not to run, failed, or has an unknown outcome.
+// Result returns the typed result. If the job is not complete there are no results, and the error distinguishes a task
+// that was proven not to have run, one that failed, and one whose outcome is unknown.
 func (t Task[R]) Result() (R, error) {
 	var none R
 	t.job.mu.Lock()
@@ -165,7 +164,8 @@
 		case contract.OutcomeNotRun:
 			return fault.With(fault.Refused, r.Outcome.String(), "task %d was not run: %s", t.index, r.Detail)
 		case contract.OutcomeUnknown:
-			return fault.With(fault.InDoubt, r.Outcome.String(), "the outcome of task %d is unknown: %s", t.index, r.Detail)
+			return fault.With(fault.InDoubt, r.Outcome.String(), "the outcome of task %d is unknown: %s", t.index,
+				r.Detail)
 		case contract.OutcomeFailed:
 			return fault.With(fault.Failed, r.Outcome.String(), "task %d failed: %s", t.index, r.Detail)
 		}
--- a/rpc/oversize.go
+++ b/rpc/oversize.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// oversizeCounter counts messages that gRPC refuses for their size before a handler sees them.
+// oversizeCounter counts messages that gRPC rejects for their size before a handler receives them.
 type oversizeCounter struct {
 	counter metrics.Counter
 }
@@ -22,7 +22,7 @@
 	if !ok || status.Code(end.Error) != codes.ResourceExhausted {
 		return
 	}
-	// A refusal by the dispatcher has a type; what has none comes from the transport.
+	// Errors of the dispatcher have a type; an error without one comes from the transport.
 	var typed *errorx.Error
 	if !errors.As(errorFrom(end.Error), &typed) {
 		o.counter.Inc(1)
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// maxMessageBytes leaves room for the fields around the payloads of the largest job.
+	// maxMessageBytes allows for the largest job and the fields around its payloads.
 	maxMessageBytes = contract.MaxJobBytes + 1<<20
-	maxMint         = 10000
+	maxJobIDs       = 10000
 )
 
-// Jobs is what the front end calls. Errors that prove that nothing ran become refusals.
+// Jobs is the dispatcher behind the front end. Submit's errors that prove that no task ran are returned as refusals.
 type Jobs interface {
 	Create(ctx context.Context, n int) ([]contract.JobID, error)
 	Submit(ctx context.Context, s contract.Submission, wait time.Duration) (contract.Answer, error)
@@ -32,7 +32,7 @@
 	Status(ctx context.Context, r contract.JobRef) (contract.JobProgress, error)
 }
 
-// Server serves callers.
+// Server is the gRPC server for callers.
 type Server struct {
 	api.UnimplementedDispatcherServer
 	jobs    Jobs
@@ -41,7 +41,7 @@
 	grpc    *grpc.Server
 }
 
-// Serve accepts callers on l in the background. Credentials are optional.
+// Serve accepts callers on l in the background. creds may be nil.
 func Serve(
 	l net.Listener, jobs Jobs, now func() time.Time, creds credentials.TransportCredentials, r metrics.Registry,
 ) *Server {
@@ -59,13 +59,13 @@
 		api.RegisterConfigurationServer(s.grpc, configurationServer{source: c})
 	}
 	go func() {
-		// Serve ends when the listener is closed by Stop.
+		// Serve returns when Stop closes the listener.
 		_ = s.grpc.Serve(l)
 	}()
 	return s
 }
 
-// Stop waits for calls in flight until ctx ends, then cuts the rest.
+// Stop waits for the calls in flight until ctx is done, then aborts the rest.
 func (s *Server) Stop(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -83,12 +83,12 @@
 // CreateJobs implements the generated interface.
 func (s *Server) CreateJobs(ctx context.Context, r *api.CreateJobsRequest) (*api.CreateJobsResponse, error) {
 	n := int(r.GetCount())
-	if n < 1 || n > maxMint {
-		return nil, s.failed(fault.With(fault.Invalid, "count", "count of %d is not from 1 to %d", n, maxMint))
+	if n < 1 || n > maxJobIDs {
+		return nil, s.callError(fault.With(fault.Invalid, "count", "count %d is not between 1 and %d", n, maxJobIDs))
 	}
 	ids, err := s.jobs.Create(ctx, n)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	out := &api.CreateJobsResponse{JobIds: make([]string, len(ids))}
 	for i, id := range ids {
@@ -101,12 +101,12 @@
 func (s *Server) Submit(ctx context.Context, r *api.SubmitRequest) (*api.Answer, error) {
 	sub, err := wire.SubmissionFrom(r)
 	if err != nil {
-		// This is no refusal of the job: an earlier submission of the same id may have run.
-		return nil, s.failed(err)
+		// This is not a refusal of the job: an earlier submission of the same id may have run.
+		return nil, s.callError(err)
 	}
 	wait, err := wire.WaitFrom(r.GetWaitMs())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	a, err := s.jobs.Submit(ctx, sub, wait)
 	return s.answerOf(a, sub.Ref.ID, err)
@@ -116,15 +116,15 @@
 func (s *Server) Await(ctx context.Context, r *api.AwaitRequest) (*api.Answer, error) {
 	ref, err := wire.RefFrom(r.GetJob())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	wait, err := wire.WaitFrom(r.GetWaitMs())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	a, err := s.jobs.Await(ctx, ref, wait)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	return wire.AnswerTo(a), nil
 }
@@ -133,11 +133,11 @@
 func (s *Server) Cancel(ctx context.Context, r *api.CancelRequest) (*api.Answer, error) {
 	ref, err := wire.RefFrom(r.GetJob())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	a, err := s.jobs.Cancel(ctx, ref)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	return wire.AnswerTo(a), nil
 }
@@ -146,15 +146,15 @@
 func (s *Server) Reconfigure(ctx context.Context, r *api.ReconfigureRequest) (*api.JobStatus, error) {
 	ref, err := wire.RefFrom(r.GetJob())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	c, err := wire.ChangeFrom(r)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	p, err := s.jobs.Reconfigure(ctx, ref, c)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	return wire.ProgressTo(p, s.now()), nil
 }
@@ -163,16 +163,17 @@
 func (s *Server) Status(ctx context.Context, r *api.StatusRequest) (*api.JobStatus, error) {
 	ref, err := wire.RefFrom(r.GetJob())
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	p, err := s.jobs.Status(ctx, ref)
 	if err != nil {
-		return nil, s.failed(err)
+		return nil, s.callError(err)
 	}
 	return wire.ProgressTo(p, s.now()), nil
 }
 
-// answerOf writes the answer to a submission. A refusal is an answer, since it states that nothing ran.
+// answerOf converts the result of a submission. An error that proves that no task ran becomes a refusal, which is an
+// answer.
 func (s *Server) answerOf(a contract.Answer, id contract.JobID, err error) (*api.Answer, error) {
 	if err == nil {
 		return wire.AnswerTo(a), nil
@@ -181,11 +182,11 @@
 		s.countInvalid(err)
 		return wire.AnswerTo(wire.RefusalOf(id, err)), nil
 	}
-	return nil, s.failed(err)
+	return nil, s.callError(err)
 }
 
-// failed counts a malformed call and writes its error.
-func (s *Server) failed(err error) error {
+// callError counts an invalid call and converts its error.
+func (s *Server) callError(err error) error {
 	s.countInvalid(err)
 	return statusOf(err)
 }
