--- a/load/mutations.sh
+++ b/load/mutations.sh
@@ -48,7 +48,7 @@
 
 # A home that was paused goes on, and the worker ignores the start-by time of its starts.
 accept_stale_start() {
-  replace standin/worker.go 'l.clock().Milliseconds() >= startBy' 'false && startBy > 0'
+  replace standin/worker.go 'p.clock().Milliseconds() >= startBy' 'false && startBy > 0'
   replace entry/lapse.go 'return !d.lapse.alive(now, d.resumed) && !d.fenced.Load() && d.lease.Holds(d.domain.Listed(), now)' \
     'return !now.IsZero()'
 }
--- a/standin/control_test.go
+++ b/standin/control_test.go
@@ -16,14 +16,14 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// startTask starts a task of an hour and returns its request and the channel of its reply.
+// startTask starts a task of one hour and returns its request and the channel of its reply.
 func startTask(t *testing.T, lease time.Duration) (*link.Workers, dispatch.StartRequest, <-chan dispatch.StartReply) {
 	t.Helper()
 	_, workers, req, replies := startTaskOf(t, lease, time.Hour, WorkerFaults{})
 	return workers, req, replies
 }
 
-// startTaskOf starts a task of some length on a worker with faults.
+// startTaskOf starts a task of the given length on a worker with faults.
 func startTaskOf(
 	t *testing.T, lease, length time.Duration, faults WorkerFaults,
 ) (*Worker, *link.Workers, dispatch.StartRequest, <-chan dispatch.StartReply) {
@@ -61,21 +61,22 @@
 	return w, workers, req, replies
 }
 
-// Guards against slowness that outlives its end for the tasks that started meanwhile: a soak run would wait for them longer
-// than its bound, which counts from the end of all faults.
+// Guards against tasks that stay slow after the slowdown has ended: a soak run would wait for them longer than its
+// bound, which counts from the end of all faults.
 func TestSlownessEndsForRunningTasks(t *testing.T) {
 	const hourOfMillis = 3_600_000
 	w, _, _, replies := startTaskOf(t, time.Minute, time.Millisecond, WorkerFaults{Slowdown: hourOfMillis})
 	select {
 	case <-replies:
-		t.Fatal("the slow task has ended")
+		t.Fatal("the slow task has already ended")
 	case <-time.After(10 * time.Millisecond):
 	}
 	w.SetFaults(WorkerFaults{})
 	require.Equal(t, contract.OutcomeDone, (<-replies).Outcome)
 }
 
-// Guards against a stopped task that is reported as not run or done, and against calls that reach another process.
+// Guards against a stopped task that is reported as done or not run, and against control calls that take effect on
+// another incarnation of the worker.
 func TestStop(t *testing.T) {
 	workers, req, replies := startTask(t, time.Minute)
 	other := req
@@ -86,13 +87,13 @@
 	reply, err := workers.Act(context.Background(), req, backend.StragglerStop)
 	require.NoError(t, err)
 	require.False(t, reply.SlotFreed)
-	end := <-replies
-	require.Equal(t, contract.OutcomeFailed, end.Outcome)
-	require.Equal(t, link.StoppedByHome, end.Detail)
-	require.Error(t, workers.Renew(context.Background(), req), "the task has ended")
+	final := <-replies
+	require.Equal(t, contract.OutcomeFailed, final.Outcome)
+	require.Equal(t, link.StoppedByHome, final.Detail)
+	require.Error(t, workers.Renew(context.Background(), req), "renewal of a task that has ended")
 }
 
-// Guards against a task that keeps its slot after it was throttled or checkpointed, and against a slot that is freed
+// Guards against a task that holds its slot after it was throttled or checkpointed, and against a slot that is freed
 // twice.
 func TestThrottleAndCheckpointFreeTheSlot(t *testing.T) {
 	for _, action := range []backend.StragglerAction{backend.StragglerThrottle, backend.StragglerCheckpoint} {
@@ -108,10 +109,10 @@
 	}
 }
 
-// Guards against a task that runs on although its home has stopped renewing the lease.
-func TestLapsedLeaseStopsTheTask(t *testing.T) {
+// Guards against a task that keeps running although its home has stopped renewing the lease.
+func TestExpiredLeaseStopsTheTask(t *testing.T) {
 	_, _, replies := startTask(t, 20*time.Millisecond)
-	end := <-replies
-	require.Equal(t, contract.OutcomeFailed, end.Outcome)
-	require.Equal(t, link.StoppedLapsed, end.Detail)
+	final := <-replies
+	require.Equal(t, contract.OutcomeFailed, final.Outcome)
+	require.Equal(t, link.StoppedLapsed, final.Detail)
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,3 +1,3 @@
-// Package standin holds small stand-ins for the systems that the dispatcher is used with: the platform's log and
-// VM list, and workers. They speak the same HTTP protocols and can be told to fail.
+// Package standin implements stand-ins for the systems around the dispatcher, for tests and local runs: the platform's
+// log, store and VM list, and workers. They use the same HTTP protocols and support fault injection.
 package standin
--- a/standin/documents.go
+++ b/standin/documents.go
@@ -7,19 +7,19 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// slotsShown is the number of slots that a worker's entry names; the worker's capacity decides.
+// slotsShown is the number of slots in a worker's entry. It has no effect; the worker's capacity decides.
 const slotsShown = 8
 
-// mustEncode encodes a document that is made of strings and numbers only.
+// mustEncode encodes a document that consists of strings and numbers only.
 func mustEncode(document any) []byte {
 	b, err := json.Marshal(document)
 	if err != nil {
-		panic("a document of strings and numbers cannot be encoded: " + err.Error())
+		panic("encode document: " + err.Error())
 	}
 	return b
 }
 
-// JobDocument is the body of a submission of a job of one step that needs not be stored.
+// JobDocument returns the submission of a best-effort job, which need not be stored, with one step.
 func JobDocument(spec string, tasks int, need machine.Resources, estimateMS int) []byte {
 	return mustEncode(map[string]any{
 		"task_spec": spec, "best_effort": true,
@@ -29,7 +29,7 @@
 	})
 }
 
-// DesiredDocument is a desired state of one route to one service, whose workers guard their capacity.
+// DesiredDocument returns a desired state with one route to one service, whose workers enforce their capacity.
 func DesiredDocument(version int, r contract.Route) []byte {
 	return mustEncode(map[string]any{
 		"version": version, "limits": map[string]any{},
@@ -42,7 +42,7 @@
 	})
 }
 
-// EntryDocument is a worker's entry in the store.
+// EntryDocument returns a worker's entry in the store.
 func EntryDocument(l machine.Listing) []byte {
 	state := "ready"
 	if l.Draining {
--- a/standin/fence_test.go
+++ b/standin/fence_test.go
@@ -16,8 +16,9 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Guards against a start that arrives after its fence, and against a task that no worker takes any more because each of
-// them has fenced a start of it that never arrived: in a small failure domain such a task waited until its deadline.
+// Guards against a worker that accepts a start that was fenced before it arrived, and against a fence that also refuses
+// later attempts: in a small failure domain every worker had fenced a start of a task that never arrived, so that the
+// task waited until its deadline.
 func TestFenceRefusesOnlyEarlierAttempts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/standin/hostserver.go
+++ b/standin/hostserver.go
@@ -17,17 +17,17 @@
 	"github.com/cicadadale/cicadadale/link"
 )
 
-// unansweredFor is how long a call that gets no answer is kept before its connection ends.
-const unansweredFor = 3 * time.Second
+// unansweredTimeout is how long a call that gets no answer waits until its connection is closed.
+const unansweredTimeout = 3 * time.Second
 
-// HostServer serves a RunHost over HTTP, by the protocol of the users' platform.
+// HostServer serves a RunHost over HTTP, with the protocol of the users' platform.
 type HostServer struct {
 	host   *RunHost
 	id     string
 	server *httpserve.Server
 }
 
-// ServeHost serves a worker on a listener.
+// ServeHost serves a worker on l in the background.
 func ServeHost(l net.Listener, id string, host *RunHost) *HostServer {
 	s := &HostServer{host: host, id: id, server: httpserve.New(l, nil)}
 	s.server.POST("/-/run-start", s.serve(s.start))
@@ -37,10 +37,10 @@
 	return s
 }
 
-// Close ends the server.
+// Close stops the server.
 func (s *HostServer) Close() error { return s.server.Stop() }
 
-// hostCall is the body of all calls to a worker.
+// hostCall is the union of the bodies of all calls to a worker.
 type hostCall struct {
 	Task     string `json:"task"`
 	Run      uint64 `json:"run_id"`
@@ -51,7 +51,7 @@
 	Wait     int64  `json:"wait_ms"`
 }
 
-// hostAnswer is the body of all answers.
+// hostAnswer is the union of the bodies of all answers of a worker.
 type hostAnswer struct {
 	Clock   int64   `json:"clock_ms"`
 	Born    int64   `json:"born,omitempty"`
@@ -60,7 +60,7 @@
 	Ended   [][]any `json:"ended_runs,omitempty"`
 }
 
-// serve decodes a call for this worker and hands it on. It answers one that is not.
+// serve decodes a call and passes it to handle. It rejects a call that is malformed or for another worker.
 func (s *HostServer) serve(handle func(ctx context.Context, c *app.RequestContext, call hostCall)) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		if target := string(c.GetHeader("Target-Instance")); target != s.id {
@@ -72,7 +72,7 @@
 			c.SetStatusCode(http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, unansweredFor)
+		ctx, cancel := context.WithTimeout(ctx, unansweredTimeout)
 		defer cancel()
 		handle(ctx, c, call)
 	}
@@ -83,7 +83,7 @@
 	if len(parts) != 4 {
 		return contract.RunKey{Batch: c.Task, Run: c.Run}
 	}
-	// Names that a daemon of this project does not write count as step and index 0.
+	// Task names that this project's daemon does not write count as step 0 and index 0.
 	step, _ := strconv.Atoi(parts[2])
 	index, _ := strconv.Atoi(parts[3])
 	return contract.RunKey{Batch: parts[0], Step: step, Index: index, Run: c.Run}
@@ -97,12 +97,13 @@
 
 func (s *HostServer) start(ctx context.Context, c *app.RequestContext, call hostCall) {
 	verdict, reply, err := s.host.Start(ctx, link.HostStart{
-		Key: call.key(), Spec: []byte(call.Spec), LeaseEnd: time.Duration(call.Until) * time.Millisecond, Token: call.Token,
+		Key: call.key(), Spec: []byte(call.Spec), LeaseEnd: time.Duration(call.Until) * time.Millisecond,
+		Token: call.Token,
 	})
 	out := hostAnswer{Clock: reply.Clock.Milliseconds()}
 	switch {
 	case err != nil:
-		lose(c)
+		dropConnection(c)
 	case verdict == link.StartAccepted:
 		c.JSON(http.StatusOK, out)
 	case verdict == link.StartUnhealthy:
@@ -113,10 +114,11 @@
 	}
 }
 
-// lose ends the connection of a call that gets no answer.
-func lose(c *app.RequestContext) {
+// dropConnection closes the connection of a call that gets no answer.
+func dropConnection(c *app.RequestContext) {
 	c.SetConnectionClose()
-	// The caller has given up; closing its connection without a byte makes a late answer impossible.
+	// Closing the connection without writing makes a late answer impossible. An error does not matter, since the caller
+	// has given up.
 	_ = c.GetConn().Close()
 }
 
@@ -133,11 +135,11 @@
 	s.answer(c, reply, err)
 }
 
-var endNames = map[contract.RunState]string{contract.RunDone: "done", contract.RunFailed: "failed"}
+var outcomeNames = map[contract.RunState]string{contract.RunDone: "done", contract.RunFailed: "failed"}
 
 func (s *HostServer) answer(c *app.RequestContext, reply link.HoldReply, err error) {
 	if err != nil {
-		lose(c)
+		dropConnection(c)
 		return
 	}
 	out := hostAnswer{Clock: reply.Clock.Milliseconds(), Born: reply.Born}
@@ -150,7 +152,7 @@
 		out.Running = append(out.Running, []any{taskName(r.Key), r.Key.Run, "", r.Progress})
 	}
 	for _, e := range reply.Ended {
-		name, ok := endNames[e.State]
+		name, ok := outcomeNames[e.State]
 		if !ok {
 			name = "stopped"
 		}
--- a/standin/keyedlog.go
+++ b/standin/keyedlog.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// keyedRecordHeader is the length of a record's content.
-	keyedRecordHeader = 4
-	longestLogWait    = 30 * time.Second
+	// recordLengthBytes is the size of the header of a record, which contains the length of its content.
+	recordLengthBytes = 4
+	maxReadWait       = 30 * time.Second
 )
 
-// KeyedLog is a stand-in of the users' platform's store, as far as its topics are keyed and have one partition. mu guards
-// all fields below it.
+// KeyedLog is a stand-in for the store of the users' platform, limited to keyed topics of one partition. mu guards all
+// fields below it.
 type KeyedLog struct {
 	server *httpserve.Server
 
@@ -31,11 +31,11 @@
 	topics  map[string]*keyedTopic
 	changed chan struct{}
 	down    bool
-	// losesAnswers makes appends take effect without an answer.
-	losesAnswers bool
+	// dropsAnswers makes appends take effect and get no answer.
+	dropsAnswers bool
 }
 
-// keyedTopic is one topic. Offsets count all records; only their contents are kept.
+// keyedTopic is one topic. The offset of a record is its index.
 type keyedTopic struct {
 	records [][]byte
 }
@@ -46,7 +46,7 @@
 	Value []byte `json:"value"`
 }
 
-// ServeKeyedLog serves an empty store on a listener.
+// ServeKeyedLog serves an empty store on l in the background.
 func ServeKeyedLog(l net.Listener) *KeyedLog {
 	k := &KeyedLog{server: httpserve.New(l, nil), topics: make(map[string]*keyedTopic), changed: make(chan struct{})}
 	k.server.POST("/-/log-append", k.append)
@@ -56,27 +56,27 @@
 	return k
 }
 
-// Address returns where the store listens.
+// Address returns the store's listen address.
 func (k *KeyedLog) Address() string { return k.server.Address() }
 
-// Close ends the server.
+// Close stops the server.
 func (k *KeyedLog) Close() error { return k.server.Stop() }
 
-// SetDown makes all calls fail, or work again.
+// SetDown makes all calls fail, or ends that fault.
 func (k *KeyedLog) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.down = down
 }
 
-// SetLosingAnswers makes appends take effect and get no answer.
+// SetLosingAnswers makes appends take effect and get no answer, or ends that fault.
 func (k *KeyedLog) SetLosingAnswers(loses bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.losesAnswers = loses
+	k.dropsAnswers = loses
 }
 
-// Put writes a record, as the operator and the workers do. An empty value drops the key.
+// Put writes a record, as the operator and the workers do. An empty value deletes the key.
 func (k *KeyedLog) Put(topic, key string, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -84,7 +84,7 @@
 	k.add(topic, content)
 }
 
-// add appends a record. k.mu is held.
+// add appends a record. k.mu must be held.
 func (k *KeyedLog) add(topic string, content []byte) {
 	t := k.topic(topic)
 	t.records = append(t.records, content)
@@ -118,8 +118,8 @@
 	for _, r := range records {
 		k.add(topic, r)
 	}
-	if k.losesAnswers {
-		lose(c)
+	if k.dropsAnswers {
+		dropConnection(c)
 		return
 	}
 	c.JSON(http.StatusOK, map[string]int{"offset": first, "end_offset": first + len(records)})
@@ -130,11 +130,11 @@
 func splitRecords(body []byte) ([][]byte, error) {
 	var records [][]byte
 	for len(body) > 0 {
-		if len(body) < keyedRecordHeader {
+		if len(body) < recordLengthBytes {
 			return nil, errTruncated
 		}
 		n := int(binary.BigEndian.Uint32(body))
-		body = body[keyedRecordHeader:]
+		body = body[recordLengthBytes:]
 		if n > len(body) {
 			return nil, errTruncated
 		}
@@ -150,9 +150,9 @@
 		c.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	// A missing wait counts as none.
+	// A missing wait counts as 0.
 	wait, _ := strconv.Atoi(c.Query("wait_ms"))
-	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(wait)*time.Millisecond, longestLogWait))
+	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(wait)*time.Millisecond, maxReadWait))
 	defer cancel()
 	for {
 		k.mu.Lock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// defaultSync is the time of a synced write.
+	// defaultSync is the duration of a synced write.
 	defaultSync = 4 * time.Millisecond
-	// defaultAppendRate is the rate of appends that the log sustains.
+	// defaultAppendRate is the sustained rate of the log, in appends per second.
 	defaultAppendRate = 500
 	// defaultRetention is how long the log keeps records.
 	defaultRetention = 48 * time.Hour
 	defaultRecords   = 1 << 20
-	// appendQueue is the time by which an append beyond the rate is delayed at most; further ones are refused.
-	appendQueue = 200 * time.Millisecond
+	// maxAppendDelay is the maximum delay of an append beyond the rate. Appends that would wait longer are refused.
+	maxAppendDelay = 200 * time.Millisecond
 )
 
-// PlatformLimits are the properties of a healthy platform. Zero values take the defaults.
+// PlatformLimits are the properties of a platform without faults. Zero values use the defaults.
 type PlatformLimits struct {
 	AppendsPerSecond int
-	// Sync is the time that an append takes.
+	// Sync is the duration of an append.
 	Sync time.Duration
-	// RetainFor and RetainRecords bound each stream.
+	// RetainFor and RetainRecords bound the age and number of the records of each stream.
 	RetainFor     time.Duration
 	RetainRecords int
-	// ListLag is the age of the VM list that is shown.
+	// ListLag is the age of the VM list that is returned.
 	ListLag time.Duration
 	Now     func() time.Time
 }
@@ -58,13 +58,13 @@
 	return l
 }
 
-// PlatformFaults are the failures that the stand-in shows.
+// PlatformFaults are the faults that the stand-in injects.
 type PlatformFaults struct {
-	// LogDown makes all log calls fail, ListDown all calls for the list.
+	// LogDown makes all log calls fail, ListDown all calls for the VM list.
 	LogDown  bool
 	ListDown bool
-	// LoseReplies is the number of appends that take effect and then fail, LoseReads that of reads that fail after
-	// they were served.
+	// LoseReplies is the number of next appends whose reply is lost after they took effect, LoseReads the number of
+	// next reads whose reply is lost.
 	LoseReplies int
 	LoseReads   int
 	// AppendDelay is added to each append, ReadDelay to each read.
@@ -72,31 +72,30 @@
 	ReadDelay   time.Duration
 }
 
-// Platform is a stand-in of the platform's log and VM list. mu guards the streams, the list, the faults and the
-// counter of appends.
+// Platform is a stand-in for the platform's log and VM list. mu guards all fields below it, and limits.ListLag.
 type Platform struct {
 	server *httpserve.Server
 	limits PlatformLimits
 
-	mu      sync.Mutex
-	streams map[string]*stream
-	list    vmHistory
-	faults  PlatformFaults
-	paid    time.Time // time up to which the appends use the rate
-	stats   PlatformStats
+	mu            sync.Mutex
+	streams       map[string]*stream
+	list          vmHistory
+	faults        PlatformFaults
+	reservedUntil time.Time // time up to which appends have used the rate
+	stats         PlatformStats
 }
 
-// PlatformStats counts the calls for the log.
+// PlatformStats counts the log calls. Throttled counts the refused appends.
 type PlatformStats struct {
 	Appends   int `json:"appends"`
 	Throttled int `json:"throttled"`
 	Reads     int `json:"reads"`
 }
 
-// NewPlatform serves on l with default limits.
+// NewPlatform serves a platform on l with the default limits.
 func NewPlatform(l net.Listener) *Platform { return NewPlatformWith(l, PlatformLimits{}) }
 
-// NewPlatformWith serves on l.
+// NewPlatformWith serves a platform on l with the given limits.
 func NewPlatformWith(l net.Listener, limits PlatformLimits) *Platform {
 	p := &Platform{server: httpserve.New(l, nil), limits: limits.withDefaults(), streams: make(map[string]*stream)}
 	p.server.POST("/v1/log/:stream", p.append)
@@ -108,16 +107,16 @@
 	return p
 }
 
-// URL returns the base URL.
+// URL returns the base URL of the platform.
 func (p *Platform) URL() string { return "http://" + p.server.Address() }
 
-// Address returns where the platform listens.
+// Address returns the platform's listen address.
 func (p *Platform) Address() string { return p.server.Address() }
 
 // Close stops serving.
 func (p *Platform) Close() error { return p.server.Stop() }
 
-// SetFaults replaces the failures shown. Waiting reads return.
+// SetFaults replaces the injected faults. Reads that are waiting return.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,71 +126,71 @@
 	}
 }
 
-// Faults returns the failures shown now.
+// Faults returns the faults that are injected now.
 func (p *Platform) Faults() PlatformFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// Stats returns the calls counted so far.
+// Stats returns the counts of log calls so far.
 func (p *Platform) Stats() PlatformStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// SetVM adds or updates an entry of the list.
+// SetVM adds or updates an entry of the VM list.
 func (p *Platform) SetVM(vm platform.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list.set(vm, p.limits.Now())
 }
 
-// RemoveVM drops an entry of the list.
+// RemoveVM removes an entry of the VM list.
 func (p *Platform) RemoveVM(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list.remove(id, p.limits.Now())
 }
 
-// SetListLag changes the age of the list that is shown.
+// SetListLag changes the age of the VM list that is returned.
 func (p *Platform) SetListLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.ListLag = lag
 }
 
-// Truncate drops the records of a stream below an offset.
+// Truncate deletes the records of a stream below an offset.
 func (p *Platform) Truncate(name string, first uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stream(name).truncate(first)
 }
 
-// stream expects p.mu to be held.
+// stream returns a stream, and creates it if needed. p.mu must be held.
 func (p *Platform) stream(name string) *stream {
 	s, ok := p.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{changed: make(chan struct{})}
 		p.streams[name] = s
 	}
 	return s
 }
 
-// admit books an append and returns its delay, or false if the rate is exceeded for too long.
+// admit reserves an append and returns its delay, or false if the delay would exceed maxAppendDelay.
 func (p *Platform) admit(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.paid.Before(now) {
-		p.paid = now
+	if p.reservedUntil.Before(now) {
+		p.reservedUntil = now
 	}
-	delay := p.paid.Sub(now)
-	if delay > appendQueue {
+	delay := p.reservedUntil.Sub(now)
+	if delay > maxAppendDelay {
 		p.stats.Throttled++
 		return 0, false
 	}
-	p.paid = p.paid.Add(time.Second / time.Duration(p.limits.AppendsPerSecond))
+	p.reservedUntil = p.reservedUntil.Add(time.Second / time.Duration(p.limits.AppendsPerSecond))
 	return delay, true
 }
 
@@ -231,16 +230,16 @@
 		c.String(400, "invalid from")
 		return
 	}
-	// A missing limit or wait means none.
+	// A missing limit means no limit, and a missing wait no wait.
 	limit, _ := strconv.Atoi(c.Query("limit"))
 	waitMS, _ := strconv.ParseInt(c.Query("wait_ms"), 10, 64)
 	time.Sleep(p.Faults().ReadDelay)
-	page, grown, fail := p.page(c.Param("stream"), from, limit)
+	page, changed, fail := p.page(c.Param("stream"), from, limit)
 	if fail == "" && len(page.Records) == 0 && waitMS > 0 {
 		timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 		defer timer.Stop()
 		select {
-		case <-grown:
+		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -253,7 +252,8 @@
 	c.JSON(200, page)
 }
 
-// page returns a part of a stream, the channel that tells of its growth, and the failure to show.
+// page returns a part of a stream, the channel that is closed when the stream changes, and the message of an injected
+// fault.
 func (p *Platform) page(name string, from uint64, limit int) (platform.WirePage, <-chan struct{}, string) {
 	now := p.limits.Now()
 	p.mu.Lock()
@@ -269,7 +269,7 @@
 		p.faults.LoseReads--
 		fail = "reply lost"
 	}
-	return s.page(from, limit), s.grown, fail
+	return s.page(from, limit), s.changed, fail
 }
 
 func (p *Platform) vms(_ context.Context, c *app.RequestContext) {
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -15,7 +15,7 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// testClock is set by hand.
+// testClock is a clock that the test advances.
 type testClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -46,7 +46,8 @@
 	return p, log, list
 }
 
-// Guards against a log without a limit: appends beyond the rate are refused once they would wait too long.
+// Guards against a log that accepts appends beyond its rate without limit: an append that would wait too long must be
+// refused.
 func TestAppendsAreLimited(t *testing.T) {
 	clock := &testClock{now: time.Unix(1000, 0)}
 	p, log, _ := startPlatform(t, PlatformLimits{AppendsPerSecond: 10, Sync: time.Millisecond, Now: clock.Now})
@@ -62,12 +63,14 @@
 	require.NoError(t, err)
 }
 
-// Guards against faults that do not show: lost replies take effect, records expire by number and age, the list lags.
+// Guards against injected faults without effect: appends with a lost reply are stored, records expire by number and
+// age, and the VM list lags.
 func TestPlatformFaults(t *testing.T) {
 	clock := &testClock{now: time.Unix(1000, 0)}
 	p, log, list := startPlatform(t, PlatformLimits{RetainRecords: 3, RetainFor: time.Hour, Now: clock.Now})
 	put := func(body string) {
-		req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, p.URL()+"/control/faults", strings.NewReader(body))
+		req, err := http.NewRequestWithContext(
+			t.Context(), http.MethodPut, p.URL()+"/control/faults", strings.NewReader(body))
 		require.NoError(t, err)
 		resp, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
@@ -91,7 +94,7 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), page.First)
 	require.Equal(t, uint64(5), page.Next)
-	// A record that is exactly as old as the retention is kept, older ones are dropped.
+	// A record that is exactly as old as the retention period is kept, older ones are deleted.
 	clock.advance(time.Hour)
 	page, err = log.Read(t.Context(), "s", 0, 10, 0)
 	require.NoError(t, err)
--- a/standin/platformcontrol.go
+++ b/standin/platformcontrol.go
@@ -9,7 +9,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// PlatformControl is the form of the failures on the control interface, GET and PUT /control/faults.
+// PlatformControl is the JSON form of the injected faults, for GET and PUT /control/faults.
 type PlatformControl struct {
 	LogDown       bool  `json:"log_down"`
 	ListDown      bool  `json:"list_down"`
@@ -20,7 +20,7 @@
 	ListLagMS     int64 `json:"list_lag_ms"`
 }
 
-// serveControl adds the control interface: the failures, counters, truncation of a stream and removal of a VM.
+// serveControl registers the control interface: faults, counters, truncation of a stream and removal of a VM.
 func (p *Platform) serveControl() {
 	p.server.GET("/control/faults", p.getControl)
 	p.server.PUT("/control/faults", p.putControl)
@@ -44,7 +44,7 @@
 	})
 }
 
-// putControl replaces all failures; what the body leaves out is switched off.
+// putControl replaces all faults. Faults that are missing from the body are switched off.
 func (p *Platform) putControl(_ context.Context, c *app.RequestContext) {
 	var f PlatformControl
 	if err := json.Unmarshal(c.Request.Body(), &f); err != nil {
--- a/standin/platformstate.go
+++ b/standin/platformstate.go
@@ -7,12 +7,12 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// stream is a part of the log. The platform's lock guards it.
+// stream is one stream of the log. The platform's mutex guards it.
 type stream struct {
 	first   uint64
 	records []platform.WireRecord
-	// grown is closed and replaced when readers must look again.
-	grown chan struct{}
+	// changed is closed and replaced when waiting readers must check again.
+	changed chan struct{}
 }
 
 func (s *stream) next() uint64 { return s.first + uint64(len(s.records)) }
@@ -21,7 +21,7 @@
 	offset := s.next()
 	r := platform.WireRecord{Offset: offset, UnixMS: now.UnixMilli(), Data: append([]byte(nil), data...)}
 	if n := len(s.records); n > 0 {
-		// Times do not decrease, even when the clock is set back.
+		// Record times do not decrease, even if the clock is set back.
 		r.UnixMS = max(r.UnixMS, s.records[n-1].UnixMS)
 	}
 	s.records = append(s.records, r)
@@ -30,11 +30,11 @@
 }
 
 func (s *stream) wakeReaders() {
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// expire drops records older than a time and beyond a number.
+// expire deletes records older than oldest, and of the others all but the newest keep records.
 func (s *stream) expire(oldest time.Time, keep int) {
 	first := s.first
 	for _, r := range s.records {
@@ -70,7 +70,7 @@
 	return page
 }
 
-// vmHistory holds the versions of the list, so that it can be shown with a lag. The platform's lock guards it.
+// vmHistory holds past versions of the VM list, so that it can be returned with a lag. The platform's mutex guards it.
 type vmHistory struct {
 	versions []vmVersion
 }
@@ -80,7 +80,7 @@
 	vms map[string]platform.VM
 }
 
-// maxListVersions bounds the history.
+// maxListVersions bounds the versions in a vmHistory.
 const maxListVersions = 1024
 
 func (h *vmHistory) set(vm platform.VM, now time.Time) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// at returns the list as it was at a time, ordered by id.
+// at returns the VM list as it was at time t, ordered by id.
 func (h *vmHistory) at(t time.Time) []platform.VM {
 	out := []platform.VM{}
 	for i := len(h.versions) - 1; i >= 0; i-- {
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// stopGrace is the time that a stop of a run takes.
+	// stopGrace is the time from a stop call until the run has ended.
 	stopGrace = 20 * time.Millisecond
-	// maxEndsListed is the number of ends in one answer.
-	maxEndsListed = 500
+	// maxEndedListed bounds the ended runs in one reply.
+	maxEndedListed = 500
 )
 
-// RunOutcome says how a run goes on a worker of the stand-in.
+// RunOutcome is the planned course of a run: how long it takes, and whether it fails or never ends by itself.
 type RunOutcome struct {
 	Takes  time.Duration
 	Fails  bool
 	Stalls bool
 }
 
-// RunObserver is told of the starts and ends on all workers, under the lock of none.
+// RunObserver is notified of the starts and ends of runs on all workers. Its methods are called with the worker's mutex
+// held.
 type RunObserver interface {
 	Started(worker string, key contract.RunKey)
-	// Ended is told when the run was over, which for a lapsed lease may be earlier than the call.
+	// Ended is called with the time at which the run ended. For an expired lease it may be earlier than the call.
 	Ended(worker string, key contract.RunKey, state contract.RunState, at time.Time)
 }
 
-// RunHost is a worker that fences its callers, leases its runs and lists their ends. mu guards all fields below it.
+// RunHost is a stand-in for a worker of the users' platform: it checks fencing tokens, runs tasks under a lease and
+// lists ended runs. mu guards all fields below it.
 type RunHost struct {
 	id       string
 	capacity machine.Resources
@@ -41,26 +43,28 @@
 	need     func(key contract.RunKey) machine.Resources
 	observer RunObserver
 
-	mu      sync.Mutex
-	born    time.Time
-	fence   uint64
-	lease   time.Duration
-	used    machine.Resources
-	running map[contract.RunKey]*hostRun
-	barred  map[contract.RunKey]uint64
-	ends    []link.EndedRun
-	ended   uint64
-	changed chan struct{}
-	lapse   *time.Timer
-	down    bool
-	// late holds orders back that get no answer and are carried out after this time.
-	late time.Duration
-	// lateEach makes each call of that number late by lateBy; zero makes none late.
-	lateEach int
-	lateBy   time.Duration
-	calls    int
-	// losesAnswers makes the worker carry starts out without an answer.
-	losesAnswers bool
+	mu        sync.Mutex
+	startTime time.Time
+	fence     uint64        // highest fencing token
+	lease     time.Duration // end of the lease on the worker's clock
+	used      machine.Resources
+	running   map[contract.RunKey]*hostRun
+	// superseded maps a task to its last run that was stopped or has ended. This run and earlier ones cannot start.
+	superseded map[contract.RunKey]uint64
+	endedRuns  []link.EndedRun
+	endedCount uint64
+	// changed is closed and replaced when a run ends.
+	changed    chan struct{}
+	leaseTimer *time.Timer
+	down       bool
+	// delay is the time after which calls are executed; they get no answer. Zero disables the delay.
+	delay time.Duration
+	// delayEveryNth delays every nth call by nthDelay; zero disables this.
+	delayEveryNth int
+	nthDelay      time.Duration
+	calls         int
+	// dropsAnswers makes the worker execute starts without answering.
+	dropsAnswers bool
 	// rejects makes the worker reject every start as unhealthy.
 	rejects bool
 }
@@ -71,11 +75,11 @@
 	started time.Time
 	outcome RunOutcome
 	timer   *time.Timer
-	// stopping runs still take room.
+	// stopping is true after a stop call. The run still uses capacity until it ends.
 	stopping bool
 }
 
-// RunHostOptions are the parts of a RunHost. Work and Need tell what a task does and takes.
+// RunHostOptions configures a RunHost. Work returns the course of a run, Need the resources that it uses.
 type RunHostOptions struct {
 	ID       string
 	Capacity machine.Resources
@@ -89,53 +93,54 @@
 func NewRunHost(o RunHostOptions) *RunHost {
 	return &RunHost{
 		id: o.ID, capacity: o.Capacity, maxLease: o.MaxLease, work: o.Work, need: o.Need, observer: o.Observer,
-		born: time.Now(), running: make(map[contract.RunKey]*hostRun), barred: make(map[contract.RunKey]uint64),
-		changed: make(chan struct{}),
+		startTime: time.Now(), running: make(map[contract.RunKey]*hostRun),
+		superseded: make(map[contract.RunKey]uint64), changed: make(chan struct{}),
 	}
 }
 
-// Born returns the start of the worker's present life.
+// Born returns the start time of the worker's current incarnation, in Unix milliseconds.
 func (h *RunHost) Born() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.born.UnixMilli()
+	return h.startTime.UnixMilli()
 }
 
-// SetLate makes the worker carry orders out only after a delay, without an answer. Zero ends it.
+// SetLate makes the worker execute starts and stops only after a delay, and leave all calls unanswered. Zero ends this
+// fault.
 func (h *RunHost) SetLate(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.late = d
+	h.delay = d
 }
 
-// SetLateEach makes each nth call get no answer and be carried out only after a delay.
+// SetLateEach applies the fault of SetLate to every nth call only. An n of 0 ends it.
 func (h *RunHost) SetLateEach(n int, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lateEach, h.lateBy = n, delay
+	h.delayEveryNth, h.nthDelay = n, delay
 }
 
-// SetLosingAnswers makes the worker carry starts out and lose its answers to them.
+// SetLosingAnswers makes the worker execute starts without answering, or ends that fault.
 func (h *RunHost) SetLosingAnswers(loses bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.losesAnswers = loses
+	h.dropsAnswers = loses
 }
 
-func (h *RunHost) isLosingAnswers() bool {
+func (h *RunHost) isDroppingAnswers() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.losesAnswers
+	return h.dropsAnswers
 }
 
-// SetRejecting makes the worker reject all starts as unhealthy.
+// SetRejecting makes the worker reject all starts as unhealthy, or ends that fault.
 func (h *RunHost) SetRejecting(rejects bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rejects = rejects
 }
 
-// Crash ends all runs and forgets everything. The worker does not answer until Restart.
+// Crash ends all runs and discards all state. The worker does not answer until Restart.
 func (h *RunHost) Crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,24 +148,24 @@
 	for _, r := range h.running {
 		h.endRun(r, contract.RunEnded, time.Now())
 	}
-	h.fence, h.lease, h.ends, h.ended = 0, 0, nil, 0
-	clear(h.barred)
+	h.fence, h.lease, h.endedRuns, h.endedCount = 0, 0, nil, 0
+	clear(h.superseded)
 }
 
-// Restart brings the worker back in a new life.
+// Restart starts a new incarnation of the worker.
 func (h *RunHost) Restart() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.down, h.born = false, time.Now()
+	h.down, h.startTime = false, time.Now()
 }
 
-func (h *RunHost) clock() time.Duration { return time.Since(h.born) }
+func (h *RunHost) clock() time.Duration { return time.Since(h.startTime) }
 
 func (h *RunHost) reply() link.HostReply {
-	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), Born: h.born.UnixMilli()}
+	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), Born: h.startTime.UnixMilli()}
 }
 
-// admit checks the fence of a call. h.mu is held.
+// admit checks a call's fencing token, and records it if it is the highest. h.mu must be held.
 func (h *RunHost) admit(token uint64) bool {
 	if token < h.fence {
 		return false
@@ -169,39 +174,40 @@
 	return true
 }
 
-// unanswered is the error of a call that gets no answer.
-func (h *RunHost) unanswered(ctx context.Context) error {
+// awaitTimeout waits until the caller gives up and returns the error of an unanswered call.
+func (h *RunHost) awaitTimeout(ctx context.Context) error {
 	<-ctx.Done()
 	return fault.InDoubt.New("worker %s does not answer", h.id)
 }
 
-// deliver reports whether a call is carried out now; otherwise it may be carried out later.
-func (h *RunHost) deliver(order func()) bool {
+// deliver reports whether a call is executed now. Otherwise the worker is down, or a fault delays its calls: execute
+// then runs after the delay, unless it is nil.
+func (h *RunHost) deliver(execute func()) bool {
 	h.mu.Lock()
-	down, late := h.down, h.late
-	if h.calls++; h.lateEach > 0 && h.calls%h.lateEach == 0 {
-		late = h.lateBy
+	down, delay := h.down, h.delay
+	if h.calls++; h.delayEveryNth > 0 && h.calls%h.delayEveryNth == 0 {
+		delay = h.nthDelay
 	}
 	h.mu.Unlock()
 	if down {
 		return false
 	}
-	if late > 0 {
-		if order != nil {
-			time.AfterFunc(late, order)
+	if delay > 0 {
+		if execute != nil {
+			time.AfterFunc(delay, execute)
 		}
 		return false
 	}
 	return true
 }
 
-// Start carries a start out.
+// Start implements link.HostCalls for one worker.
 func (h *RunHost) Start(ctx context.Context, s link.HostStart) (link.StartVerdict, link.HostReply, error) {
 	if !h.deliver(func() { h.start(s) }) {
-		return 0, link.HostReply{}, h.unanswered(ctx)
+		return 0, link.HostReply{}, h.awaitTimeout(ctx)
 	}
 	verdict, reply := h.start(s)
-	if h.isLosingAnswers() {
+	if h.isDroppingAnswers() {
 		return 0, link.HostReply{}, fault.InDoubt.New("the connection to worker %s was reset", h.id)
 	}
 	return verdict, reply, nil
@@ -225,7 +231,7 @@
 		return link.StartExpired, reply
 	}
 	h.extend(s.LeaseEnd)
-	if s.Key.Run <= h.barred[s.Key.Task()] {
+	if s.Key.Run <= h.superseded[s.Key.Task()] {
 		return link.StartSuperseded, reply
 	}
 	need := h.need(s.Key)
@@ -242,27 +248,27 @@
 	return link.StartAccepted, reply
 }
 
-// extend lengthens the lease of all runs. h.mu is held.
+// extend extends the lease of all runs, by at most maxLease from now. h.mu must be held.
 func (h *RunHost) extend(end time.Duration) {
 	end = min(end, h.clock()+h.maxLease)
 	if end <= h.lease {
 		return
 	}
 	h.lease = end
-	if h.lapse != nil {
-		h.lapse.Stop()
+	if h.leaseTimer != nil {
+		h.leaseTimer.Stop()
 	}
-	h.lapse = time.AfterFunc(end-h.clock(), h.lapsed)
+	h.leaseTimer = time.AfterFunc(end-h.clock(), h.expireLease)
 }
 
-func (h *RunHost) lapsed() {
+func (h *RunHost) expireLease() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.down || h.clock() < h.lease {
 		return
 	}
 	for _, r := range h.running {
-		h.endRun(r, contract.RunEnded, h.born.Add(h.lease))
+		h.endRun(r, contract.RunEnded, h.startTime.Add(h.lease))
 	}
 }
 
@@ -279,7 +285,7 @@
 	h.endRun(r, state, time.Now())
 }
 
-// endRun lists the end of a run and frees its room. h.mu is held.
+// endRun adds a run to the ended ones and frees its capacity. h.mu must be held.
 func (h *RunHost) endRun(r *hostRun, state contract.RunState, at time.Time) {
 	if h.running[r.key] != r {
 		return
@@ -289,18 +295,18 @@
 	}
 	delete(h.running, r.key)
 	h.used = h.used.Minus(h.need(r.key))
-	h.barred[r.key.Task()] = max(h.barred[r.key.Task()], r.key.Run)
-	h.ended++
-	h.ends = append(h.ends, link.EndedRun{Number: h.ended, Key: r.key, State: state})
+	h.superseded[r.key.Task()] = max(h.superseded[r.key.Task()], r.key.Run)
+	h.endedCount++
+	h.endedRuns = append(h.endedRuns, link.EndedRun{Number: h.endedCount, Key: r.key, State: state})
 	h.observer.Ended(h.id, r.key, state, at)
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// Stop ends a run, or bars it.
+// Stop stops a run, or prevents it from starting if it has not.
 func (h *RunHost) Stop(ctx context.Context, key contract.RunKey, token uint64) (link.HostReply, error) {
 	if !h.deliver(func() { h.stop(key, token) }) {
-		return link.HostReply{}, h.unanswered(ctx)
+		return link.HostReply{}, h.awaitTimeout(ctx)
 	}
 	return h.stop(key, token), nil
 }
@@ -313,7 +319,7 @@
 		reply.Fenced = true
 		return reply
 	}
-	h.barred[key.Task()] = max(h.barred[key.Task()], key.Run)
+	h.superseded[key.Task()] = max(h.superseded[key.Task()], key.Run)
 	if r, ok := h.running[key]; ok && !r.stopping {
 		r.stopping = true
 		if r.timer != nil {
@@ -324,31 +330,31 @@
 	return reply
 }
 
-// Hold extends the lease and lists the runs. It waits for an end if the call allows it.
+// Hold extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
 func (h *RunHost) Hold(ctx context.Context, c link.HostHold) (link.HoldReply, error) {
 	if !h.deliver(nil) {
-		return link.HoldReply{}, h.unanswered(ctx)
+		return link.HoldReply{}, h.awaitTimeout(ctx)
 	}
 	h.mu.Lock()
 	if !h.admit(c.Token) {
 		defer h.mu.Unlock()
-		// As on the platform, a fenced answer says the clock but not the life.
+		// As on the platform, the answer to a fenced call contains the clock but not the start time.
 		return link.HoldReply{HostReply: link.HostReply{Clock: h.reply().Clock, Fenced: true}}, nil
 	}
 	if c.LeaseEnd > 0 {
 		h.extend(c.LeaseEnd)
 	}
-	for len(h.ends) > 0 && h.ends[0].Number <= c.LastSeen {
-		h.ends = h.ends[1:]
+	for len(h.endedRuns) > 0 && h.endedRuns[0].Number <= c.LastSeen {
+		h.endedRuns = h.endedRuns[1:]
 	}
-	if len(h.ends) == 0 && c.Wait > 0 {
+	if len(h.endedRuns) == 0 && c.Wait > 0 {
 		changed := h.changed
 		h.mu.Unlock()
 		select {
 		case <-changed:
 		case <-time.After(c.Wait):
 		case <-ctx.Done():
-			return link.HoldReply{}, fault.InDoubt.New("worker %s was not waited for", h.id)
+			return link.HoldReply{}, fault.InDoubt.New("caller of worker %s stopped waiting", h.id)
 		}
 		h.mu.Lock()
 	}
@@ -359,7 +365,7 @@
 	return h.list(), nil
 }
 
-// list returns the runs and ends. h.mu is held.
+// list returns the running and ended runs. h.mu must be held.
 func (h *RunHost) list() link.HoldReply {
 	out := link.HoldReply{HostReply: h.reply()}
 	for _, r := range h.running {
@@ -369,6 +375,6 @@
 		}
 		out.Running = append(out.Running, link.RunningRun{Key: r.key, Progress: progress})
 	}
-	out.Ended = append(out.Ended, h.ends[:min(len(h.ends), maxEndsListed)]...)
+	out.Ended = append(out.Ended, h.endedRuns[:min(len(h.endedRuns), maxEndedListed)]...)
 	return out
 }
--- a/standin/versioned.go
+++ b/standin/versioned.go
@@ -9,7 +9,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// writeVersioned writes a value as JSON with an entity tag, or status 304 if the caller has this version.
+// writeVersioned writes a value as JSON with an entity tag, or status 304 if the caller already has this version.
 func writeVersioned(c *app.RequestContext, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/standin/work.go
+++ b/standin/work.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	shortestTask = 50 * time.Millisecond
-	taskSpread   = 250 * time.Millisecond
-	dailyCents   = 2500
+	minTaskTime    = 50 * time.Millisecond
+	taskTimeSpread = 250 * time.Millisecond
+	centsPerDay    = 2500
 )
 
-// DeploymentWork serves the request kinds of both deployments' schema files.
+// DeploymentWork handles the request kinds of the schema files of both deployments.
 func DeploymentWork(_, kind string, payload []byte) ([]byte, time.Duration, error) {
 	h := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = h.Write(payload)
-	run := shortestTask + time.Duration(h.Sum32())%taskSpread
+	run := minTaskTime + time.Duration(h.Sum32())%taskTimeSpread
 	reply, err := reply(kind, payload)
 	if err != nil {
 		return nil, run, err
@@ -36,11 +36,13 @@
 	case "PriceHire":
 		var r glashaus.PriceHireRequest
 		err := proto.Unmarshal(payload, &r)
-		return &glashaus.PriceHireReply{PriceCents: int64(r.GetHeaters()) * int64(r.GetDays()) * dailyCents}, err
+		return &glashaus.PriceHireReply{PriceCents: int64(r.GetHeaters()) * int64(r.GetDays()) * centsPerDay}, err
 	case "ConfirmDelivery":
-		return &glashaus.ConfirmDeliveryReply{Confirmed: true}, proto.Unmarshal(payload, &glashaus.ConfirmDeliveryRequest{})
+		return &glashaus.ConfirmDeliveryReply{Confirmed: true},
+			proto.Unmarshal(payload, &glashaus.ConfirmDeliveryRequest{})
 	case "CancelBooking":
-		return &glashaus.CancelBookingReply{RefundCents: dailyCents}, proto.Unmarshal(payload, &glashaus.CancelBookingRequest{})
+		return &glashaus.CancelBookingReply{RefundCents: centsPerDay},
+			proto.Unmarshal(payload, &glashaus.CancelBookingRequest{})
 	case "CheckPlot":
 		return &wakala.CheckPlotReply{Open: true}, proto.Unmarshal(payload, &wakala.CheckPlotRequest{})
 	case "IssueOrder":
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -15,10 +15,10 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Work computes the result of a task and the time that it takes on a worker of speed 1.
+// Work returns the result of a task and its run time on a worker of speed 1.
 type Work func(service, kind string, payload []byte) (result []byte, run time.Duration, err error)
 
-// Start is a start that a worker has accepted.
+// Start is a start that a worker accepted.
 type Start struct {
 	Worker  machine.WorkerID
 	Task    string
@@ -28,7 +28,7 @@
 	At      time.Time
 }
 
-// Observer is told what happens at workers. It is called without a lock held and by many goroutines.
+// Observer is notified of events on workers. Its methods are called without a lock held and from many goroutines.
 type Observer interface {
 	Started(Start)
 	Ended(w machine.WorkerID, task string, at time.Time)
@@ -37,63 +37,63 @@
 	Polled(w machine.WorkerID)
 }
 
-// WorkerFaults are the failures that a worker shows.
+// WorkerFaults are the faults that a worker injects.
 type WorkerFaults struct {
-	// Slowdown divides the speed; 0 counts as 1.
+	// Slowdown divides the worker's speed; values below 1 count as 1.
 	Slowdown float64
-	// FailAll makes every task fail at once.
+	// FailAll makes every task fail immediately.
 	FailAll bool
 }
 
-// WorkerOptions describe a worker stand-in.
+// WorkerOptions configures a Worker.
 type WorkerOptions struct {
 	ID    machine.WorkerID
 	Slots int
 	// Speed divides the run time of each task.
 	Speed float64
 	Work  Work
-	// Started is told of every start, so that a test can count tasks started twice.
+	// Started is called on every start, so that a test can count tasks that are started twice. It may be nil.
 	Started func(task string)
 	// Observer may be nil.
 	Observer Observer
 }
 
-// Worker is a stand-in of a worker. mu guards the life, the faults and the tasks of the life.
+// Worker is a stand-in for a worker. mu guards the fields below it and the state of the process and its tasks.
 type Worker struct {
-	o       WorkerOptions
-	server  *httpserve.Server
-	clocked workerTimeline
+	o      WorkerOptions
+	server *httpserve.Server
+	events workerTimeline
 
 	mu      sync.Mutex
-	life    *workerLife
+	process *workerProcess
 	faults  WorkerFaults
 	leaving bool
 }
 
-// workerLife is what a worker process knows and loses when it restarts.
-type workerLife struct {
+// workerProcess is the state of a worker's process, which is lost when it restarts.
+type workerProcess struct {
 	incarnation machine.Incarnation
-	born        time.Time
+	startTime   time.Time
 	tasks       map[string]*workerTask
 	running     map[string]*workerTask
 	busy        int
-	over        chan struct{}
+	exited      chan struct{} // closed when the process ends
 }
 
-func newWorkerLife() *workerLife {
-	return &workerLife{
-		incarnation: machine.NewIncarnation(), born: time.Now(), tasks: make(map[string]*workerTask),
-		running: make(map[string]*workerTask), over: make(chan struct{}),
+func newWorkerProcess() *workerProcess {
+	return &workerProcess{
+		incarnation: machine.NewIncarnation(), startTime: time.Now(), tasks: make(map[string]*workerTask),
+		running: make(map[string]*workerTask), exited: make(chan struct{}),
 	}
 }
 
-func (l *workerLife) clock() time.Duration { return time.Since(l.born) }
+func (p *workerProcess) clock() time.Duration { return time.Since(p.startTime) }
 
-// workerTask is a task that the worker knows: running, ended, or fenced before it started.
+// workerTask is a task that the worker knows: it is running, has ended, or was fenced before it started.
 type workerTask struct {
-	life   *workerLife
-	fenced bool
-	// attempt is the number of the start, or the highest one that the fence refuses.
+	process *workerProcess
+	fenced  bool
+	// attempt is the attempt that started the task, or the highest attempt that the fence refuses.
 	attempt int
 	done    chan struct{}
 	control taskControl
@@ -103,14 +103,14 @@
 	run     time.Duration
 }
 
-// NewWorker serves on l.
+// NewWorker serves a worker on l.
 func NewWorker(l net.Listener, o WorkerOptions) *Worker {
 	if o.Speed <= 0 {
 		o.Speed = 1
 	}
-	w := &Worker{o: o, server: httpserve.New(l, nil), life: newWorkerLife()}
-	w.clocked = newWorkerTimeline(string(o.ID), w.life.incarnation)
-	w.server.GET("/events", httpserve.Events(w.clocked.ring))
+	w := &Worker{o: o, server: httpserve.New(l, nil), process: newWorkerProcess()}
+	w.events = newWorkerTimeline(string(o.ID), w.process.incarnation)
+	w.server.GET("/events", httpserve.Events(w.events.ring))
 	w.server.POST("/v1/tasks/:id", w.start)
 	w.server.POST("/v1/tasks/:id/fence", w.fence)
 	w.serveControl()
@@ -119,21 +119,21 @@
 	return w
 }
 
-// ID returns the worker's name.
+// ID returns the worker's id.
 func (w *Worker) ID() machine.WorkerID { return w.o.ID }
 
-// Address returns where the worker listens.
+// Address returns the worker's listen address.
 func (w *Worker) Address() string { return w.server.Address() }
 
 // Close stops serving.
 func (w *Worker) Close() error { return w.server.Stop() }
 
-// SetFaults replaces the failures shown. A change of speed applies to the tasks that run.
+// SetFaults replaces the injected faults. A change of speed also applies to running tasks.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
-	for _, t := range w.life.running {
+	for _, t := range w.process.running {
 		t.control.wake()
 	}
 }
@@ -145,19 +145,19 @@
 	w.leaving = true
 }
 
-// Restart ends the worker's process and begins another: all tasks are lost and the incarnation changes. Connections
-// stay open; a caller that simulates a crash cuts them.
+// Restart ends the worker's process and starts another: all tasks are lost and the incarnation changes. Connections
+// stay open; a caller that simulates a crash must close them.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	close(w.life.over)
-	w.life = newWorkerLife()
+	close(w.process.exited)
+	w.process = newWorkerProcess()
 }
 
 func (w *Worker) start(_ context.Context, c *app.RequestContext) {
 	id, kind := c.Param("id"), string(c.GetHeader(link.HeaderKind))
 	t, reject := w.admit(id, c)
-	w.clocked.record(c, timeline.RunStarted, timeline.RunRejected, reject)
+	w.events.record(c, timeline.RunStarted, timeline.RunRejected, reject)
 	if reject != "" {
 		if w.o.Observer != nil {
 			w.o.Observer.Rejected(w.o.ID, id, reject)
@@ -168,16 +168,16 @@
 		return
 	}
 	payload := append([]byte(nil), c.Request.Body()...)
-	w.announce(id, kind, string(c.GetHeader(link.HeaderHome)), payload)
+	w.notifyStarted(id, kind, string(c.GetHeader(link.HeaderHome)), payload)
 	w.execute(id, t, string(c.GetHeader(link.HeaderService)), kind, payload)
-	w.clocked.record(c, timeline.RunEnded, timeline.RunEnded, t.reason)
+	w.events.record(c, timeline.RunEnded, timeline.RunEnded, t.reason)
 	if w.o.Observer != nil {
 		w.o.Observer.Ended(w.o.ID, id, time.Now())
 	}
-	writeTask(c, t)
+	writeOutcome(c, t)
 }
 
-func (w *Worker) announce(id, kind, home string, payload []byte) {
+func (w *Worker) notifyStarted(id, kind, home string, payload []byte) {
 	if w.o.Started != nil {
 		w.o.Started(id)
 	}
@@ -188,42 +188,42 @@
 	}
 }
 
-// admit registers a start or returns the reason of its rejection.
+// admit registers a start, or returns the reason for its rejection.
 func (w *Worker) admit(id string, c *app.RequestContext) (*workerTask, string) {
 	startBy, _ := strconv.ParseInt(string(c.GetHeader(link.HeaderStartBy)), 10, 64)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.life
-	if string(c.GetHeader(link.HeaderIncarnation)) != l.incarnation.String() {
+	p := w.process
+	if string(c.GetHeader(link.HeaderIncarnation)) != p.incarnation.String() {
 		return nil, link.RejectIncarnation
 	}
 	attempt := attemptOf(c)
-	if t, ok := l.tasks[id]; ok && t.fenced && attempt <= t.attempt {
+	if t, ok := p.tasks[id]; ok && t.fenced && attempt <= t.attempt {
 		return nil, link.RejectFenced
 	} else if ok && !t.fenced {
 		return nil, link.RejectDuplicate
 	}
-	// Both sides count whole milliseconds, so that an equal count may already be late.
-	if l.clock().Milliseconds() >= startBy {
+	// Both sides truncate to milliseconds, so a start with an equal time may already be late.
+	if p.clock().Milliseconds() >= startBy {
 		return nil, link.RejectLate
 	}
 	if w.leaving {
 		return nil, link.RejectLeaving
 	}
-	if l.busy >= w.o.Slots {
+	if p.busy >= w.o.Slots {
 		return nil, link.RejectFull
 	}
-	t := &workerTask{life: l, done: make(chan struct{}), control: newTaskControl(c), attempt: attempt}
-	l.tasks[id], l.running[id] = t, t
-	l.busy++
-	l.wakeCheckpointed()
+	t := &workerTask{process: p, done: make(chan struct{}), control: newTaskControl(c), attempt: attempt}
+	p.tasks[id], p.running[id] = t, t
+	p.busy++
+	p.wakeCheckpointed()
 	return t, ""
 }
 
 // execute runs a task on the calling goroutine.
 func (w *Worker) execute(id string, t *workerTask, service, kind string, payload []byte) {
 	begin := time.Now()
-	result, nominal, err := w.o.Work(service, kind, payload)
+	result, duration, err := w.o.Work(service, kind, payload)
 	w.mu.Lock()
 	f := w.faults
 	w.mu.Unlock()
@@ -232,22 +232,22 @@
 		outcome, reason, result = link.OutcomeFailed, err.Error(), nil
 	}
 	if f.FailAll {
-		nominal, outcome, reason, result = 0, link.OutcomeFailed, "worker fails everything", nil
+		duration, outcome, reason, result = 0, link.OutcomeFailed, "worker fails everything", nil
 	}
-	stopped, over := w.work(t, nominal)
-	if stopped != "" {
-		outcome, reason, result = link.OutcomeFailed, stopped, nil
+	stopReason, exited := w.work(t, duration)
+	if stopReason != "" {
+		outcome, reason, result = link.OutcomeFailed, stopReason, nil
 	}
-	if over {
-		// The process that ran the task is gone, so that there is no outcome to report.
+	if exited {
+		// The process that ran the task has ended, so there is no outcome to report.
 		outcome, reason, result = "", "", nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t.run = time.Since(begin)
 	t.outcome, t.reason, t.result = outcome, reason, result
-	delete(t.life.running, id)
-	t.life.leaveSlot(t)
+	delete(t.process.running, id)
+	t.process.releaseSlot(t)
 	close(t.done)
 }
 
@@ -262,7 +262,7 @@
 		c.Header(link.HeaderOutcome, link.OutcomeRestarted)
 		return
 	}
-	w.clocked.record(c, timeline.RunFenced, timeline.RunFenced, "")
+	w.events.record(c, timeline.RunFenced, timeline.RunFenced, "")
 	if t.fenced {
 		c.Header(link.HeaderOutcome, link.OutcomeNever)
 		return
@@ -271,7 +271,7 @@
 	defer timer.Stop()
 	select {
 	case <-t.done:
-		writeTask(c, t)
+		writeOutcome(c, t)
 	case <-timer.C:
 		c.Header(link.HeaderOutcome, link.OutcomeRunning)
 	case <-ctx.Done():
@@ -279,18 +279,18 @@
 	}
 }
 
-// fenceTask returns the task after making sure that it cannot start under this attempt or an earlier one, nil for another
-// incarnation.
+// fenceTask returns the task after ensuring that it cannot start under this attempt or an earlier one. It returns nil
+// if incarnation is not the current one.
 func (w *Worker) fenceTask(id, incarnation string, attempt int) *workerTask {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if incarnation != w.life.incarnation.String() {
+	if incarnation != w.process.incarnation.String() {
 		return nil
 	}
-	t, ok := w.life.tasks[id]
+	t, ok := w.process.tasks[id]
 	if !ok {
-		t = &workerTask{life: w.life, fenced: true, done: make(chan struct{})}
-		w.life.tasks[id] = t
+		t = &workerTask{process: w.process, fenced: true, done: make(chan struct{})}
+		w.process.tasks[id] = t
 	}
 	if t.fenced {
 		t.attempt = max(t.attempt, attempt)
@@ -298,7 +298,7 @@
 	return t
 }
 
-// attemptOf returns the number of a start, 1 if the home gives none.
+// attemptOf returns the attempt number of a call, or 1 if it has none.
 func attemptOf(c *app.RequestContext) int {
 	n, err := strconv.Atoi(string(c.GetHeader(link.HeaderAttempt)))
 	if err != nil || n < 1 {
@@ -307,8 +307,8 @@
 	return n
 }
 
-// writeTask writes the outcome of a task that has ended.
-func writeTask(c *app.RequestContext, t *workerTask) {
+// writeOutcome writes the outcome of a task that has ended.
+func writeOutcome(c *app.RequestContext, t *workerTask) {
 	if t.outcome == "" {
 		c.Status(503)
 		return
@@ -325,10 +325,10 @@
 	}
 	w.mu.Lock()
 	s := link.WorkerStatus{
-		Incarnation: w.life.incarnation.String(), ClockMS: w.life.clock().Milliseconds(), Slots: w.o.Slots,
-		Busy: w.life.busy, Leaving: w.leaving, Tasks: []string{},
+		Incarnation: w.process.incarnation.String(), ClockMS: w.process.clock().Milliseconds(), Slots: w.o.Slots,
+		Busy: w.process.busy, Leaving: w.leaving, Tasks: []string{},
 	}
-	for id := range w.life.running {
+	for id := range w.process.running {
 		s.Tasks = append(s.Tasks, id)
 	}
 	w.mu.Unlock()
