--- a/zone/allocation.go
+++ b/zone/allocation.go
@@ -8,9 +8,9 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// ownAdvantage is how much younger the granter's own work may be and still be served first: its slots need no
+// selfPreference is how much younger the allocator's own work may be and still be served first: its slots need no
 // message.
-const ownAdvantage = 5 * time.Millisecond
+const selfPreference = 5 * time.Millisecond
 
 type slotClass uint8
 
@@ -19,7 +19,7 @@
 	longClass
 )
 
-// grantedWorker is a worker with what the members hold of it.
+// grantedWorker is a worker with the slots that each member holds of it.
 type grantedWorker struct {
 	id     machine.WorkerID
 	slots  int
@@ -27,13 +27,13 @@
 	closed bool
 	// pending is set until the members have reported what they hold.
 	pending bool
-	// withheld counts slots that the worker refused to serve, so that another granter must have granted them.
-	withheld   int
-	withheldAt time.Time
-	held       map[string]heldSlots
-	sum        Count
-	counted    int // the worker's part in Granter.free
-	position   [2]int
+	// withheld counts slots that the worker refused to serve, which means that another allocator has granted them.
+	withheld    int
+	withheldAt  time.Time
+	held        map[string]heldSlots
+	sum         Count
+	countedFree int // the worker's contribution to Granter.free
+	heapIndex   [2]int
 }
 
 type heldSlots struct {
@@ -42,7 +42,7 @@
 }
 
 func newGrantedWorker(id machine.WorkerID) *grantedWorker {
-	return &grantedWorker{id: id, held: make(map[string]heldSlots), position: [2]int{-1, -1}}
+	return &grantedWorker{id: id, held: make(map[string]heldSlots), heapIndex: [2]int{-1, -1}}
 }
 
 func (w *grantedWorker) free() int {
@@ -53,7 +53,7 @@
 }
 
 func (w *grantedWorker) allowsLong() bool {
-	return w.free() > 0 && float64(w.sum.Long+1) <= max(1, longShare*float64(w.slots))
+	return w.free() > 0 && float64(w.sum.Long+1) <= max(1, maxLongShare*float64(w.slots))
 }
 
 func (w *grantedWorker) withhold(n int, now time.Time) {
@@ -61,7 +61,7 @@
 	w.withheldAt = now
 }
 
-// consistent reports whether the sums match the members' parts.
+// consistent reports whether the sum matches the slots held by the members.
 func (w *grantedWorker) consistent() bool {
 	var sum Count
 	for _, h := range w.held {
@@ -77,8 +77,8 @@
 // update restores the heaps and the free count after a change of w. It expects g.mu to be held.
 func (g *Granter) update(w *grantedWorker) {
 	free := w.free()
-	g.free += free - w.counted
-	w.counted = free
+	g.free += free - w.countedFree
+	w.countedFree = free
 	g.short.set(w, free > 0)
 	g.long.set(w, w.allowsLong())
 }
@@ -106,8 +106,8 @@
 	g.update(w)
 }
 
-// release takes back at most what the member holds. A slot whose task has outgrown its class may come back as long
-// before the report that says so. It expects g.mu to be held.
+// release takes back at most the slots that the member holds. The slot of a task that was reclassified as long may be
+// returned as long before the report of the reclassification. It expects g.mu to be held.
 func (g *Granter) release(w *grantedWorker, member string, c Count) {
 	h := w.held[member]
 	c.Short += max(0, c.Long-h.Long)
@@ -115,11 +115,11 @@
 	g.setHeld(w, member, left, h.renewed)
 }
 
-// allocate gives free slots to the members that have waited longest. It expects g.mu to be held.
+// allocate grants free slots to the members whose tasks have waited longest. It expects g.mu to be held.
 func (g *Granter) allocate(now time.Time) []Allocation {
 	var out []Allocation
 	for g.short.Len() > 0 {
-		name, m := g.next(shortClass)
+		name, m := g.longestWaiting(shortClass)
 		if m == nil {
 			break
 		}
@@ -127,7 +127,7 @@
 		out = g.grant(out, g.short.workers[0], name, Count{Short: 1}, now)
 	}
 	for g.long.Len() > 0 {
-		name, m := g.next(longClass)
+		name, m := g.longestWaiting(longClass)
 		if m == nil {
 			break
 		}
@@ -137,7 +137,7 @@
 	if len(out) == 0 {
 		return nil
 	}
-	return g.number(merge(out), now)
+	return g.assignNumbers(merge(out), now)
 }
 
 // grant expects g.mu to be held.
@@ -146,13 +146,14 @@
 	g.setHeld(w, name, Count{Short: h.Short + c.Short, Long: h.Long + c.Long}, now)
 	g.check(w.sum.Sum()+w.withheld <= w.slots)
 	if c.Long > 0 {
-		g.check(float64(w.sum.Long) <= max(1, longShare*float64(w.slots)))
+		g.check(float64(w.sum.Long) <= max(1, maxLongShare*float64(w.slots)))
 	}
 	return append(out, Allocation{Member: name, Worker: w.id, Slots: c, Epoch: g.epoch})
 }
 
-// number gives the allocations of one decision a grant number for each member. It expects g.mu to be held.
-func (g *Granter) number(out []Allocation, now time.Time) []Allocation {
+// assignNumbers sets the grant number of the allocations of one decision, one number per member. It expects g.mu to
+// be held.
+func (g *Granter) assignNumbers(out []Allocation, now time.Time) []Allocation {
 	for i := range out {
 		a := &out[i]
 		m := g.member(a.Member)
@@ -167,8 +168,8 @@
 	return out
 }
 
-// next returns the member whose task of the class has waited longest. It expects g.mu to be held.
-func (g *Granter) next(class slotClass) (string, *grantee) {
+// longestWaiting returns the member whose task of the class has waited longest. It expects g.mu to be held.
+func (g *Granter) longestWaiting(class slotClass) (string, *grantee) {
 	var name string
 	var best *grantee
 	var bestSince time.Time
@@ -181,7 +182,7 @@
 			continue
 		}
 		if n == g.self {
-			since = since.Add(-ownAdvantage)
+			since = since.Add(-selfPreference)
 		}
 		if best == nil || since.Before(bestSince) || (since.Equal(bestSince) && n < name) {
 			name, best, bestSince = n, m, since
@@ -190,7 +191,7 @@
 	return name, best
 }
 
-// merge joins allocations of the same member and worker.
+// merge combines allocations of the same member and worker.
 func merge(in []Allocation) []Allocation {
 	sort.SliceStable(in, func(i, j int) bool {
 		if in[i].Member != in[j].Member {
@@ -211,20 +212,20 @@
 	return out
 }
 
-// workerHeap orders the workers that may grant a slot of a class: the fastest first for short work; the slowest
-// first for long work, so that it leaves the fast ones to short work.
+// workerHeap orders the workers that may grant a slot of a class: the fastest first for short work; the slowest first
+// for long work, which leaves the fast workers to short work.
 type workerHeap struct {
 	class   slotClass
 	workers []*grantedWorker
 }
 
 // set adds, moves or removes a worker.
-func (h *workerHeap) set(w *grantedWorker, in bool) {
-	at := w.position[h.class]
+func (h *workerHeap) set(w *grantedWorker, eligible bool) {
+	at := w.heapIndex[h.class]
 	switch {
-	case in && at < 0:
+	case eligible && at < 0:
 		heap.Push(h, w)
-	case in:
+	case eligible:
 		heap.Fix(h, at)
 	case at >= 0:
 		heap.Remove(h, at)
@@ -246,14 +247,14 @@
 // Swap implements heap.Interface.
 func (h *workerHeap) Swap(i, j int) {
 	h.workers[i], h.workers[j] = h.workers[j], h.workers[i]
-	h.workers[i].position[h.class] = i
-	h.workers[j].position[h.class] = j
+	h.workers[i].heapIndex[h.class] = i
+	h.workers[j].heapIndex[h.class] = j
 }
 
 // Push implements heap.Interface.
 func (h *workerHeap) Push(x any) {
 	w := x.(*grantedWorker)
-	w.position[h.class] = len(h.workers)
+	w.heapIndex[h.class] = len(h.workers)
 	h.workers = append(h.workers, w)
 }
 
@@ -263,6 +264,6 @@
 	w := h.workers[n]
 	h.workers[n] = nil
 	h.workers = h.workers[:n]
-	w.position[h.class] = -1
+	w.heapIndex[h.class] = -1
 	return w
 }
--- a/zone/answerlease.go
+++ b/zone/answerlease.go
@@ -9,25 +9,28 @@
 // than SilenceLimit by the time that an answer may take from the check of the lease to the caller.
 const answerLease = SilenceLimit - 500*time.Millisecond
 
-// DeclareQuorum returns how many of n listed members have to promise to refuse a silent home before it is gone. A home
-// of two never is: the list or the VM's next incarnation has to show its end.
+// DeclareQuorum returns how many of n listed members have to promise to refuse a silent home before it is declared
+// gone. A home in a domain of two members is never declared gone: the list or the VM's next incarnation has to show
+// that it has ended.
 func DeclareQuorum(n int) int { return n/2 + 1 }
 
-// AnswerLease tells a home whether it may still give final answers. Its mutex guards all fields.
+// AnswerLease decides whether a home (the member that accepted a job and answers for it) may still give final
+// answers. Its mutex guards all fields.
 //
-// A member that promises to refuse this home has not heard it for SilenceLimit, and so has not acknowledged anything
-// that was sent within answerLease. As long as fewer than DeclareQuorum members are in that position, the home is not
-// gone. A member that was never sent anything does not know this incarnation and cannot promise.
+// A member that promises to refuse this home has not received a message from it for SilenceLimit, and so has not
+// acknowledged any message sent within answerLease. While fewer than DeclareQuorum members are in that position, the
+// home is not gone. A member that was never sent a message does not know this incarnation and cannot promise.
 type AnswerLease struct {
 	mu sync.Mutex
-	// acked holds the sending time of the last acknowledged message, or of the first message.
+	// acked holds the send time of the last acknowledged message, or of the first message if none was acknowledged.
 	acked map[string]time.Time
 }
 
 // NewAnswerLease returns the lease of a home that no member knows yet.
 func NewAnswerLease() *AnswerLease { return &AnswerLease{acked: make(map[string]time.Time)} }
 
-// Sent records that a message is about to be sent to a member, which may hear it although its acknowledgement is lost.
+// Sent records that a message is about to be sent to a member, which may receive it even if its acknowledgement is
+// lost.
 func (l *AnswerLease) Sent(vm string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +48,7 @@
 	}
 }
 
-// Holds reports whether this home may give final answers. members are the other listed members of its failure domain.
+// Holds reports whether this home may give final answers; members are the other listed members of its failure domain.
 func (l *AnswerLease) Holds(members []string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/zone/demandplanner.go
+++ b/zone/demandplanner.go
@@ -7,157 +7,160 @@
 )
 
 const (
-	// hintTTL is the age at which a granter's statement of free slots is no longer believed.
-	hintTTL = time.Second
-	// refreshDemand is the time after which an unmet demand is stated again, so that granters compare recent waits
-	// and a lost message costs little.
-	refreshDemand = 200 * time.Millisecond
-	// demandFlight is the time within which a demand reaches its granter.
-	demandFlight = 2 * time.Millisecond
-	// answerTime is the time within which a granter with free slots answers a demand.
-	answerTime = 10 * time.Millisecond
-	// withdrawInterval spaces the reductions of a demand: a grant that comes too late is a wasted message.
+	// freeHintTTL is the age at which an allocator's count of its free slots is ignored as stale.
+	freeHintTTL = time.Second
+	// demandRefreshInterval is the interval at which an unmet demand is sent again, so that allocators compare recent
+	// waits and a lost message costs little.
+	demandRefreshInterval = 200 * time.Millisecond
+	// demandTransitTime is the time within which a demand reaches its allocator.
+	demandTransitTime = 2 * time.Millisecond
+	// demandReplyTime is the time within which an allocator with free slots answers a demand.
+	demandReplyTime = 10 * time.Millisecond
+	// withdrawInterval is the minimum interval between reductions of a demand: a grant that arrives after the reduction
+	// is a wasted message.
 	withdrawInterval = 5 * time.Millisecond
-	// scarceShare is the share of all slots below which free ones count as scarce.
+	// scarceShare is the share of all slots below which the free ones count as scarce.
 	scarceShare = 1.0 / 16
-	// reaskInterval spaces changes of a demand that no granter is known to be able to serve.
-	reaskInterval = 50 * time.Millisecond
+	// demandRetryInterval is the interval at which a demand that no allocator is known to be able to serve is increased
+	// or sent again.
+	demandRetryInterval = 50 * time.Millisecond
 )
 
-// DemandPart is the demand to state to a granter; it replaces the one before.
+// DemandPart is the demand to send to one allocator; it replaces the previous one.
 type DemandPart struct {
 	Granter  string
 	Tasks    Count
 	Received uint64
 }
 
-// DemandPlanner divides the unmet demand of one service between the granters, so that no task is asked for twice. The own
-// granter is one of them. Its mutex guards all fields.
+// DemandPlanner divides the unmet demand of one service between the slot allocators, so that no task is requested
+// twice. The VM's own allocator is one of them. The mutex guards all fields below it.
 type DemandPlanner struct {
 	self string
 
-	mu       sync.Mutex
-	granters map[string]*plannedGranter
+	mu         sync.Mutex
+	allocators map[string]*allocatorState
 }
 
-// plannedGranter is what is known of a granter and has been asked of it.
-type plannedGranter struct {
-	name     string
-	slots    int
-	free     int
-	freeAt   time.Time
-	asked    Count
-	askedAt  time.Time
-	received uint64
+// allocatorState is an allocator's last known state and the demand sent to it.
+type allocatorState struct {
+	name           string
+	slots          int
+	free           int
+	freeReportedAt time.Time
+	requested      Count
+	requestedAt    time.Time
+	received       uint64
 }
 
-// NewDemandPlanner returns an planner of the entry VM self that knows no granter.
+// NewDemandPlanner returns a planner of the entry VM self without allocators.
 func NewDemandPlanner(self string) *DemandPlanner {
-	return &DemandPlanner{self: self, granters: make(map[string]*plannedGranter)}
+	return &DemandPlanner{self: self, allocators: make(map[string]*allocatorState)}
 }
 
-// SetGranters replaces the granters; slots holds the number of slots that each one grants.
-func (a *DemandPlanner) SetGranters(slots map[string]int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// SetGranters replaces the allocators; slots holds the number of slots that each one allocates.
+func (p *DemandPlanner) SetGranters(slots map[string]int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for name, n := range slots {
-		a.granter(name).slots = n
+		p.allocator(name).slots = n
 	}
-	for name := range a.granters {
+	for name := range p.allocators {
 		if _, ok := slots[name]; !ok {
-			delete(a.granters, name)
+			delete(p.allocators, name)
 		}
 	}
 }
 
-// granter expects a.mu to be held.
-func (a *DemandPlanner) granter(name string) *plannedGranter {
-	g, ok := a.granters[name]
+// allocator expects p.mu to be held.
+func (p *DemandPlanner) allocator(name string) *allocatorState {
+	g, ok := p.allocators[name]
 	if !ok {
-		g = &plannedGranter{name: name}
-		a.granters[name] = g
+		g = &allocatorState{name: name}
+		p.allocators[name] = g
 	}
 	return g
 }
 
-// Hint records a granter's statement of its free slots, made in reply to a demand.
-func (a *DemandPlanner) Hint(granter string, free int, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if g, ok := a.granters[granter]; ok {
-		g.free, g.freeAt = free, now
+// Hint records the number of free slots that an allocator reported in reply to a demand.
+func (p *DemandPlanner) Hint(allocator string, free int, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if g, ok := p.allocators[allocator]; ok {
+		g.free, g.freeReportedAt = free, now
 	}
 }
 
-// Overheard records a granter's statement of its free slots, made on another occasion. While a demand may still be
-// under way to the granter, a statement of none says nothing about the answer, and must not move the demand.
-func (a *DemandPlanner) Overheard(granter string, free int, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	g, ok := a.granters[granter]
-	if !ok || (free == 0 && g.asked.Sum() > 0 && now.Sub(g.askedAt) < demandFlight) {
+// Overheard records the number of free slots that an allocator reported other than in reply to a demand. While a
+// demand may still be in transit to the allocator, a report of zero free slots does not answer it and must not move
+// the demand elsewhere.
+func (p *DemandPlanner) Overheard(allocator string, free int, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	g, ok := p.allocators[allocator]
+	if !ok || (free == 0 && g.requested.Sum() > 0 && now.Sub(g.requestedAt) < demandTransitTime) {
 		return
 	}
-	g.free, g.freeAt = free, now
+	g.free, g.freeReportedAt = free, now
 }
 
-// Scarce reports whether the granters are known to have hardly any free slots among them.
-func (a *DemandPlanner) Scarce(now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// Scarce reports whether the allocators together are known to have hardly any free slots.
+func (p *DemandPlanner) Scarce(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	free, slots := 0, 0
-	for _, g := range a.granters {
-		free += g.hint(now)
+	for _, g := range p.allocators {
+		free += g.freeHint(now)
 		slots += g.slots
 	}
 	return float64(free) < scarceShare*float64(slots)
 }
 
-// Granted records a grant.
-func (a *DemandPlanner) Granted(granter string, c Count, number uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	g := a.granter(granter)
+// Granted records a grant and subtracts it from the demand at the allocator.
+func (p *DemandPlanner) Granted(allocator string, c Count, number uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	g := p.allocator(allocator)
 	g.received = number
-	g.asked.Short = max(0, g.asked.Short-c.Short)
-	g.asked.Long = max(0, g.asked.Long-c.Long)
+	g.requested.Short = max(0, g.requested.Short-c.Short)
+	g.requested.Long = max(0, g.requested.Long-c.Long)
 }
 
-// Received returns the number of the last grant from a granter.
-func (a *DemandPlanner) Received(granter string) uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if g, ok := a.granters[granter]; ok {
+// Received returns the number of the last grant from an allocator.
+func (p *DemandPlanner) Received(allocator string) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if g, ok := p.allocators[allocator]; ok {
 		return g.received
 	}
 	return 0
 }
 
-// Reset forgets what was asked of a granter whose process has ended.
-func (a *DemandPlanner) Reset(granter string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if g, ok := a.granters[granter]; ok {
-		*g = plannedGranter{name: granter, slots: g.slots}
+// Reset clears the demand and the free slots of an allocator whose process has ended.
+func (p *DemandPlanner) Reset(allocator string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if g, ok := p.allocators[allocator]; ok {
+		*g = allocatorState{name: allocator, slots: g.slots}
 	}
 }
 
-// Plan divides the demand and returns the statements to send. The own granter is told directly and needs no
-// message, so that its part is always stated.
-func (a *DemandPlanner) Plan(need Count, now time.Time) []DemandPart {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if need.Sum() == 0 && !a.asking() {
+// Plan divides the demand and returns the parts to send. The VM's own allocator is called directly and needs no
+// message.
+func (p *DemandPlanner) Plan(need Count, now time.Time) []DemandPart {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if need.Sum() == 0 && !p.hasDemand() {
 		return nil
 	}
-	order := a.order(now)
+	order := p.order(now)
 	target := make([]Count, len(order))
 	left := need
-	a.keep(order, target, &left, func(g *plannedGranter) bool {
-		return now.Sub(g.askedAt) < answerTime && g.hint(now) > 0
+	p.retain(order, target, &left, func(g *allocatorState) bool {
+		return now.Sub(g.requestedAt) < demandReplyTime && g.freeHint(now) > 0
 	})
 	for i, g := range order {
-		free := max(0, g.hint(now)-target[i].Sum())
+		free := max(0, g.freeHint(now)-target[i].Sum())
 		s := min(left.Short, free)
 		l := min(left.Long, free-s)
 		target[i].Short += s
@@ -165,40 +168,40 @@
 		left.Short -= s
 		left.Long -= l
 	}
-	a.keep(order, target, &left, func(*plannedGranter) bool { return true })
-	spread(order, target, left)
-	var asks []DemandPart
+	p.retain(order, target, &left, func(*allocatorState) bool { return true })
+	spreadBySlots(order, target, left)
+	var parts []DemandPart
 	for i, g := range order {
-		if g.due(target[i], need, now, g.name == a.self) {
-			g.asked, g.askedAt = target[i], now
-			asks = append(asks, DemandPart{Granter: g.name, Tasks: target[i], Received: g.received})
+		if g.needsUpdate(target[i], need, now, g.name == p.self) {
+			g.requested, g.requestedAt = target[i], now
+			parts = append(parts, DemandPart{Granter: g.name, Tasks: target[i], Received: g.received})
 		}
 	}
-	return asks
+	return parts
 }
 
-// asking expects a.mu to be held.
-func (a *DemandPlanner) asking() bool {
-	for _, g := range a.granters {
-		if g.asked.Sum() > 0 {
+// hasDemand expects p.mu to be held.
+func (p *DemandPlanner) hasDemand() bool {
+	for _, g := range p.allocators {
+		if g.requested.Sum() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// order returns the granters, the own one first, then by their free slots. It expects a.mu to be held.
-func (a *DemandPlanner) order(now time.Time) []*plannedGranter {
-	order := make([]*plannedGranter, 0, len(a.granters))
-	for _, g := range a.granters {
+// order returns the allocators, the VM's own one first, then by descending free slots. It expects p.mu to be held.
+func (p *DemandPlanner) order(now time.Time) []*allocatorState {
+	order := make([]*allocatorState, 0, len(p.allocators))
+	for _, g := range p.allocators {
 		order = append(order, g)
 	}
 	sort.Slice(order, func(i, j int) bool {
 		x, y := order[i], order[j]
-		if (x.name == a.self) != (y.name == a.self) {
-			return x.name == a.self
+		if (x.name == p.self) != (y.name == p.self) {
+			return x.name == p.self
 		}
-		if hx, hy := x.hint(now), y.hint(now); hx != hy {
+		if hx, hy := x.freeHint(now), y.freeHint(now); hx != hy {
 			return hx > hy
 		}
 		if x.slots != y.slots {
@@ -209,24 +212,24 @@
 	return order
 }
 
-// hint is the number of slots that the granter can probably grant at once.
-func (g *plannedGranter) hint(now time.Time) int {
-	if now.Sub(g.freeAt) > hintTTL {
+// freeHint is the number of slots that the allocator can probably grant immediately.
+func (g *allocatorState) freeHint(now time.Time) int {
+	if now.Sub(g.freeReportedAt) > freeHintTTL {
 		return 0
 	}
 	return g.free
 }
 
-// keep leaves the parts of the demand where they have been stated before, at the granters for which stays returns true.
-// A part that moves costs messages, and a grant for it may be under way.
-func (a *DemandPlanner) keep(order []*plannedGranter, target []Count, left *Count, stays func(*plannedGranter) bool) {
+// retain leaves the parts of the demand at the allocators that hold them if kept returns true. Moving a part costs
+// messages, and a grant for it may be in transit.
+func (p *DemandPlanner) retain(order []*allocatorState, target []Count, left *Count, kept func(*allocatorState) bool) {
 	for i, g := range order {
-		if g.name == a.self || !stays(g) {
-			// The own part is divided anew each time: left here it would grow beyond its share.
+		if g.name == p.self || !kept(g) {
+			// The VM's own part is recomputed each time: if kept, it would grow beyond its share.
 			continue
 		}
-		s := min(left.Short, max(0, g.asked.Short-target[i].Short))
-		l := min(left.Long, max(0, g.asked.Long-target[i].Long))
+		s := min(left.Short, max(0, g.requested.Short-target[i].Short))
+		l := min(left.Long, max(0, g.requested.Long-target[i].Long))
 		target[i].Short += s
 		target[i].Long += l
 		left.Short -= s
@@ -234,8 +237,8 @@
 	}
 }
 
-// spread divides what is left in proportion to the granters' slots.
-func spread(order []*plannedGranter, target []Count, left Count) {
+// spreadBySlots divides the remaining demand in proportion to the allocators' slots.
+func spreadBySlots(order []*allocatorState, target []Count, left Count) {
 	slots := 0
 	for _, g := range order {
 		slots += g.slots
@@ -244,7 +247,7 @@
 		if g.slots == 0 {
 			continue
 		}
-		// Rounding up for each and dividing the rest by what remains gives every task to exactly one granter.
+		// Rounding up and dividing the rest by the remaining slots assigns every task to exactly one allocator.
 		s := (left.Short*g.slots + slots - 1) / slots
 		l := (left.Long*g.slots + slots - 1) / slots
 		target[i].Short += s
@@ -255,32 +258,32 @@
 	}
 }
 
-// due reports whether a new demand has to be stated now.
-func (g *plannedGranter) due(target, need Count, now time.Time, own bool) bool {
-	since := now.Sub(g.askedAt)
+// needsUpdate reports whether a new demand has to be sent now.
+func (g *allocatorState) needsUpdate(target, need Count, now time.Time, own bool) bool {
+	since := now.Sub(g.requestedAt)
 	switch {
 	case own:
-		return target != g.asked || (target.Sum() > 0 && since >= reaskInterval)
-	case target == g.asked:
-		return target.Sum() > 0 && since >= refreshDemand
+		return target != g.requested || (target.Sum() > 0 && since >= demandRetryInterval)
+	case target == g.requested:
+		return target.Sum() > 0 && since >= demandRefreshInterval
 	case need.Sum() == 0 || target.Sum() == 0:
 		return true
-	case target.Sum() > g.asked.Sum():
-		// More is asked at once of a granter with free slots, and of any if it is much more.
-		return g.hint(now) > 0 || target.Sum() >= 2*g.asked.Sum() || since >= reaskInterval
+	case target.Sum() > g.requested.Sum():
+		// An increase is sent immediately if the allocator has free slots or the demand has at least doubled.
+		return g.freeHint(now) > 0 || target.Sum() >= 2*g.requested.Sum() || since >= demandRetryInterval
 	default:
 		return since >= withdrawInterval
 	}
 }
 
-// Free returns the number of slots that other granters are known to have free.
-func (a *DemandPlanner) Free(now time.Time) int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// Free returns the number of slots that other allocators are known to have free.
+func (p *DemandPlanner) Free(now time.Time) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
-	for name, g := range a.granters {
-		if name != a.self {
-			n += g.hint(now)
+	for name, g := range p.allocators {
+		if name != p.self {
+			n += g.freeHint(now)
 		}
 	}
 	return n
--- a/zone/domain.go
+++ b/zone/domain.go
@@ -14,7 +14,7 @@
 // RegionID names a region.
 type RegionID string
 
-// Listing is an entry VM as the platform's list shows it.
+// Listing is an entry VM in the platform's list.
 type Listing struct {
 	VM      machine.EntryVM
 	Domain  DomainID
@@ -25,8 +25,8 @@
 const (
 	// SuspectAfter is the time without progress after which a member is suspected.
 	SuspectAfter = 1500 * time.Millisecond
-	// GoneAfter is the time as a suspect after which a member counts as gone. With a check every 500 ms its slots come
-	// back within 3 s of its last message.
+	// GoneAfter is the time as a suspect after which a member counts as gone. With a check every 500 ms its slots are
+	// taken back within 3 s of its last message.
 	GoneAfter = time.Second
 	// SilenceLimit is the time without progress after which a member counts as gone.
 	SilenceLimit = SuspectAfter + GoneAfter
@@ -39,7 +39,8 @@
 	To   MemberState
 }
 
-// FailureDomain holds the members of one failure domain. Its mutex guards all fields.
+// FailureDomain holds the members of one failure domain. Its mutex guards all fields but id and self, which are not
+// changed.
 type FailureDomain struct {
 	id   DomainID
 	self string
@@ -54,7 +55,7 @@
 	lastSeen time.Time
 }
 
-// NewFailureDomain returns a failure domain seen from the entry VM self.
+// NewFailureDomain returns a failure domain as seen from the entry VM self.
 func NewFailureDomain(id DomainID, self string) *FailureDomain {
 	return &FailureDomain{id: id, self: self, members: make(map[string]*member)}
 }
@@ -62,8 +63,8 @@
 // ID returns the number of the failure domain.
 func (d *FailureDomain) ID() DomainID { return d.id }
 
-// ApplyList takes over the platform's list. Entries of other failure domains are ignored. A member that the
-// list drops is gone.
+// ApplyList applies the platform's list. Entries of other failure domains are ignored. A member that is missing from
+// the list is gone.
 func (d *FailureDomain) ApplyList(list []Listing, now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +96,7 @@
 			m.state = MemberLive
 		}
 	}
-	// The incarnation comes from the links, which know better than the lagging list.
+	// The incarnation is taken from received messages, which are more recent than the lagging list.
 	l.VM.Incarnation = m.listing.VM.Incarnation
 	m.listing = l
 	if l.Leaving && m.state != MemberGone {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// Heard records a message from the process that runs on a member now.
+// Heard records a message from the process that currently runs on a member.
 func (d *FailureDomain) Heard(id string, inc machine.Incarnation, leaving bool, now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,20 +115,20 @@
 	}
 	var changes []Change
 	if old := m.listing.VM.Incarnation; old != 0 && old != inc {
-		// The process was replaced: whatever the old one held is gone at once, and the new one starts unburdened.
+		// The process was replaced: the old one loses its slots immediately, and the new one starts without any.
 		changes = append(changes, d.fire(m, eventDropped)...)
 		m.state = MemberJoining
 	}
 	m.lastSeen = now
 	m.listing.VM.Incarnation = inc
-	changes = append(changes, d.fire(m, eventHeard)...)
+	changes = append(changes, d.fire(m, eventContact)...)
 	if leaving || m.listing.Leaving {
 		changes = append(changes, d.fire(m, eventLeave)...)
 	}
 	return changes
 }
 
-// Tick suspects members without progress.
+// Tick marks members without progress as suspect, then as gone.
 func (d *FailureDomain) Tick(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,11 +137,11 @@
 		if id == d.self {
 			continue
 		}
-		silent := now.Sub(m.lastSeen)
-		if silent > SuspectAfter {
+		silence := now.Sub(m.lastSeen)
+		if silence > SuspectAfter {
 			changes = append(changes, d.fire(m, eventSilent)...)
 		}
-		if silent > SilenceLimit {
+		if silence > SilenceLimit {
 			changes = append(changes, d.fire(m, eventExpired)...)
 		}
 	}
--- a/zone/example_test.go
+++ b/zone/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// The granter of a worker gives its slots to the members that have work, and takes them back.
+// The slot allocator of a worker grants its slots to the members that have work, and takes them back.
 func ExampleGranter() {
 	now := time.Unix(0, 0)
 	g := zone.NewGranter("entry-1", 1)
--- a/zone/granter.go
+++ b/zone/granter.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// GrantTTL is the time after which a grant lapses unless the holder's report renews it.
+	// GrantTTL is the time after which a grant expires unless the holder's report renews it.
 	GrantTTL = 3 * time.Second
-	// TakeoverWait bounds the wait for the members' holdings before a new granter grants.
+	// TakeoverWait bounds the time for which a new allocator waits for the members' holdings before it grants slots.
 	TakeoverWait = 300 * time.Millisecond
-	// demandTTL drops the demand of a member that has stopped to refresh it. Until then slots may be granted to a member
-	// that a partition has cut off, and stay idle until the grants lapse.
+	// demandTTL is the time after which a demand that is not refreshed is dropped. Until then slots may be granted to a
+	// member that a partition has cut off, and stay idle until the grants expire.
 	demandTTL = 500 * time.Millisecond
-	// grantDelivery is the time within which a grant arrives or is lost.
+	// grantDelivery is the time after which a grant that has not arrived counts as lost.
 	grantDelivery = 500 * time.Millisecond
-	// withholdFor is how long a slot is kept back after the worker refused a start on it.
-	withholdFor = time.Second
-	// forgetAfter drops the record of a member that is not heard any more.
-	forgetAfter = 10 * time.Minute
-	// longShare is the largest share of a worker's slots that long work may hold.
-	longShare = 0.4
+	// withholdTime is how long a slot is withheld after the worker refused a start on it.
+	withholdTime = time.Second
+	// memberRetention is the time without contact after which the record of a member is deleted.
+	memberRetention = 10 * time.Minute
+	// maxLongShare is the maximum share of a worker's slots that long work may hold.
+	maxLongShare = 0.4
 )
 
 // Count is a number of slots by class.
@@ -33,7 +33,7 @@
 // Sum returns the number of slots of both classes.
 func (c Count) Sum() int { return c.Short + c.Long }
 
-// Allocation gives slots of one worker to a member.
+// Allocation grants slots of one worker to a member.
 type Allocation struct {
 	Member string
 	Worker machine.WorkerID
@@ -43,22 +43,22 @@
 	Number uint64
 }
 
-// Need is a member's unmet demand at a granter.
+// Need is a member's unmet demand at an allocator.
 type Need struct {
 	Tasks Count
 	// ShortWait and LongWait are the waits of the oldest tasks.
 	ShortWait, LongWait time.Duration
-	// Received is the number of the last grant that the member had received.
+	// Received is the number of the last grant that the member has received.
 	Received uint64
 }
 
-// Held is what a member holds of one worker.
+// Held is the number of slots that a member holds of one worker.
 type Held struct {
 	Worker machine.WorkerID
 	Slots  Count
 }
 
-// Offer describes a worker to its granter. Closed workers get no new work.
+// Offer describes a worker to its allocator. Closed workers get no new work.
 type Offer struct {
 	Worker machine.WorkerID
 	Slots  int
@@ -66,8 +66,8 @@
 	Closed bool
 }
 
-// Granter allocates the slots of the workers of one service for which this VM is the granter. Its mutex guards
-// all fields.
+// Granter is the slot allocator of the workers of one service that are assigned to this VM: it leases their slots to
+// members, itself included. Its mutex guards all fields but self and epoch, which are not changed.
 type Granter struct {
 	self  string
 	epoch uint64
@@ -88,23 +88,23 @@
 	checks Checks
 }
 
-// Checks counts the invariant checks of a granter.
+// Checks counts the invariant checks of an allocator.
 type Checks struct {
 	Made, Violated int64
 }
 
-// grantee is a member as the granter sees it.
+// grantee is the allocator's record of a member.
 type grantee struct {
 	need       Count
 	shortSince time.Time
 	longSince  time.Time
 	refreshed  time.Time
 	seen       time.Time
-	// backlog is the time since which the member's oldest short task waits; zero when none is known.
+	// backlog is the time since which the member's oldest short task has waited; zero if none is known.
 	backlog time.Time
 	number  uint64
 	unacked []unackedGrant
-	// recalled counts slots asked back and not yet returned.
+	// recalled counts slots that were recalled and not yet returned.
 	recalled   int
 	recalledAt time.Time
 }
@@ -117,7 +117,7 @@
 	sent   time.Time
 }
 
-// NewGranter returns a granter without workers. The epoch distinguishes it from the granters before it.
+// NewGranter returns an allocator without workers. The epoch distinguishes it from earlier allocators.
 func NewGranter(self string, epoch uint64) *Granter {
 	return &Granter{
 		self: self, epoch: epoch, workers: make(map[machine.WorkerID]*grantedWorker),
@@ -135,14 +135,14 @@
 	return m
 }
 
-// Assign replaces the set of workers. Members may hold slots of a worker that is new here, so that its slots are
-// granted only after all of others have reported, or after TakeoverWait; own is what this VM holds. Assign reports
-// whether the others have to be asked.
+// Assign replaces the set of workers. Members may hold slots of a worker that is new here, so its slots are granted
+// only after all of others have reported, or after TakeoverWait; own lists the slots that this VM holds. Assign
+// reports whether the others have to be asked.
 func (g *Granter) Assign(offers []Offer, own []Held, others []string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	seen := make(map[machine.WorkerID]bool, len(offers))
-	taken := false
+	takenOver := false
 	held := make(map[machine.WorkerID]Count, len(own))
 	for _, h := range own {
 		held[h.Worker] = h.Slots
@@ -153,7 +153,7 @@
 		if !ok {
 			w = newGrantedWorker(o.Worker)
 			w.pending = len(others) > 0
-			taken = taken || w.pending
+			takenOver = takenOver || w.pending
 			g.workers[o.Worker] = w
 			g.setHeld(w, g.self, held[o.Worker], now)
 		}
@@ -169,14 +169,14 @@
 	for _, w := range g.workers {
 		g.slots += w.slots
 	}
-	if taken {
-		g.await(others, now)
+	if takenOver {
+		g.awaitReports(others, now)
 	}
-	return taken
+	return takenOver
 }
 
-// await expects g.mu to be held.
-func (g *Granter) await(others []string, now time.Time) {
+// awaitReports expects g.mu to be held.
+func (g *Granter) awaitReports(others []string, now time.Time) {
 	if g.awaiting == nil {
 		g.awaiting = make(map[string]bool, len(others))
 	}
@@ -186,14 +186,14 @@
 	g.awaitedUntil = now.Add(TakeoverWait)
 }
 
-// Demand replaces a member's demand and returns the allocations that it allows.
+// Demand replaces a member's demand and returns the resulting allocations.
 func (g *Granter) Demand(member string, n Need, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
-	m.settle(n.Received, now)
-	under := m.unackedSlots()
-	m.need = Count{Short: max(0, n.Tasks.Short-under.Short), Long: max(0, n.Tasks.Long-under.Long)}
+	m.dropSettled(n.Received, now)
+	unacked := m.unackedSlots()
+	m.need = Count{Short: max(0, n.Tasks.Short-unacked.Short), Long: max(0, n.Tasks.Long-unacked.Long)}
 	m.refreshed, m.seen = now, now
 	m.shortSince, m.longSince = now.Add(-n.ShortWait), now.Add(-n.LongWait)
 	m.backlog = time.Time{}
@@ -203,7 +203,7 @@
 	return g.allocate(now)
 }
 
-// Observe records how long a member's oldest short task has waited; zero says that none waits.
+// Observe records how long a member's oldest short task has waited; zero means that none waits.
 func (g *Granter) Observe(member string, wait time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// Return takes slots back and returns the allocations that they allow.
+// Return takes back the slots that a member returns, and returns the resulting allocations.
 func (g *Granter) Return(member string, slots []Held, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -229,8 +229,8 @@
 	return g.allocate(now)
 }
 
-// Reject takes back slots on which the worker refused a start because it had none free: another granter has granted
-// them. They are withheld for a while.
+// Reject takes back slots on which the worker refused a start because it had none free, which means that another
+// allocator has granted them. They are withheld for withholdTime.
 func (g *Granter) Reject(member string, slots []Held, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -245,14 +245,14 @@
 	return g.allocate(now)
 }
 
-// Report replaces what a member holds of this granter's workers, but for the grants that it has not received yet.
-// Workers that it does not list count as not held.
+// Report replaces the record of the slots that a member holds, except for the grants that it has not received yet.
+// Workers that are not in the report count as not held.
 func (g *Granter) Report(member string, held []Held, received uint64, complete bool, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
 	m.seen = now
-	m.settle(received, now)
+	m.dropSettled(received, now)
 	counts := make(map[machine.WorkerID]Count, len(held))
 	for _, h := range held {
 		counts[h.Worker] = h.Slots
@@ -271,12 +271,12 @@
 	return g.allocate(now)
 }
 
-// MemberGone takes back everything that a member held and forgets its demand.
+// MemberGone takes back all slots that a member held and drops its demand.
 func (g *Granter) MemberGone(member string, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
-	// The number goes on, so that a member that was only cut off does not take an old grant for a new one.
+	// The grant number continues, so that a member that was only cut off does not treat an old grant as a new one.
 	*m = grantee{number: m.number, seen: now}
 	delete(g.awaiting, member)
 	for _, w := range g.workers {
@@ -286,7 +286,7 @@
 	return g.allocate(now)
 }
 
-// Tick ends takeovers, lets grants and demands lapse and offers withheld slots again.
+// Tick ends takeovers, expires grants and demands, and makes withheld slots available again.
 func (g *Granter) Tick(now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -295,13 +295,13 @@
 		if name != g.self && now.Sub(m.refreshed) > demandTTL {
 			m.need, m.backlog = Count{}, time.Time{}
 		}
-		if name != g.self && now.Sub(m.seen) > forgetAfter {
+		if name != g.self && now.Sub(m.seen) > memberRetention {
 			delete(g.members, name)
 		}
 	}
 	for _, w := range g.workers {
-		if w.withheld > 0 && now.Sub(w.withheldAt) > withholdFor {
-			// One at a time: what other granters hold of the worker is unknown.
+		if w.withheld > 0 && now.Sub(w.withheldAt) > withholdTime {
+			// One at a time: how many slots other allocators have granted is unknown.
 			w.withheld--
 			w.withheldAt = now
 			g.update(w)
@@ -315,7 +315,8 @@
 	return g.allocate(now)
 }
 
-// Suspend forgets the demand of a member that does not respond. What it holds stays counted: its tasks run on.
+// Suspend drops the demand of a member that does not respond. The slots that it holds stay counted, because its tasks
+// continue.
 func (g *Granter) Suspend(member string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -324,8 +325,8 @@
 	delete(g.awaiting, member)
 }
 
-// Rejoin prepares for a member that responds again: another granter may have given it slots of any worker here. No
-// slot is granted until it has reported, or for TakeoverWait, and no slot is withheld after that.
+// Rejoin prepares for a member that responds again: another allocator may have granted it slots of any worker here.
+// No slot is granted until the member has reported, or for TakeoverWait, and no slot is withheld after that.
 func (g *Granter) Rejoin(member string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -362,14 +363,15 @@
 	return g.free
 }
 
-// TakingOver reports whether slots wait for the members' holdings.
+// TakingOver reports whether slots are held back until the members have reported their holdings.
 func (g *Granter) TakingOver() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.awaiting != nil
 }
 
-// TakeChecks returns and resets the counts of invariant checks, after checking that the counts of all workers add up.
+// TakeChecks returns and resets the numbers of invariant checks, after checking that the counts of all workers add
+// up.
 func (g *Granter) TakeChecks() Checks {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -392,8 +394,8 @@
 	}
 }
 
-// settle forgets grants that the member has received or that are lost.
-func (m *grantee) settle(received uint64, now time.Time) {
+// dropSettled removes the grants that the member has received and those that count as lost.
+func (m *grantee) dropSettled(received uint64, now time.Time) {
 	kept := m.unacked[:0]
 	for _, f := range m.unacked {
 		if f.number > received && now.Sub(f.sent) < grantDelivery {
@@ -403,7 +405,7 @@
 	m.unacked = kept
 }
 
-// unackedSlots counts the slots granted and not yet acknowledged.
+// unackedSlots counts the slots granted but not yet acknowledged.
 func (m *grantee) unackedSlots() Count {
 	var c Count
 	for _, f := range m.unacked {
--- a/zone/granter_test.go
+++ b/zone/granter_test.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// granterModel plays members that hold what they were granted.
-type granterModel struct {
+// allocatorModel simulates members that hold the slots granted to them.
+type allocatorModel struct {
 	t      *rapid.T
 	g      *Granter
 	now    time.Time
@@ -33,9 +33,9 @@
 	gone   map[string]bool
 }
 
-func (m *granterModel) take(allocations []Allocation) {
+func (m *allocatorModel) receive(allocations []Allocation) {
 	for _, a := range allocations {
-		require.False(m.t, m.gone[a.Member], "%s is gone", a.Member)
+		require.False(m.t, m.gone[a.Member], "slots granted to %s, which is gone", a.Member)
 		require.Positive(m.t, a.Slots.Sum())
 		if m.held[a.Member] == nil {
 			m.held[a.Member] = make(map[machine.WorkerID]Count)
@@ -44,48 +44,50 @@
 		m.held[a.Member][a.Worker] = Count{Short: c.Short + a.Slots.Short, Long: c.Long + a.Slots.Long}
 		n := m.need[a.Member]
 		n = Count{Short: n.Short - a.Slots.Short, Long: n.Long - a.Slots.Long}
-		require.GreaterOrEqual(m.t, n.Short, 0, "granted more than %s asked for", a.Member)
-		require.GreaterOrEqual(m.t, n.Long, 0, "granted more than %s asked for", a.Member)
+		require.GreaterOrEqual(m.t, n.Short, 0, "granted more than %s requested", a.Member)
+		require.GreaterOrEqual(m.t, n.Long, 0, "granted more than %s requested", a.Member)
 		m.need[a.Member] = n
 		m.number[a.Member] = a.Number
 	}
 }
 
-// check compares the granter with the members.
-func (m *granterModel) check() {
-	free, longRoom := 0, false
+// check compares the allocator with the members.
+func (m *allocatorModel) check() {
+	free, longFree := 0, false
 	for _, o := range m.offers {
 		var sum Count
 		for _, held := range m.held {
 			sum.Short += held[o.Worker].Short
 			sum.Long += held[o.Worker].Long
 		}
-		require.LessOrEqual(m.t, sum.Sum(), o.Slots, "slots of %s", o.Worker)
-		require.LessOrEqual(m.t, float64(sum.Long), max(1, longShare*float64(o.Slots)), "long work on %s", o.Worker)
+		require.LessOrEqual(m.t, sum.Sum(), o.Slots, "slots held of %s", o.Worker)
+		require.LessOrEqual(m.t, float64(sum.Long), max(1, maxLongShare*float64(o.Slots)), "long slots held of %s", o.Worker)
 		free += o.Slots - sum.Sum()
-		longRoom = longRoom || (sum.Sum() < o.Slots && float64(sum.Long+1) <= max(1, longShare*float64(o.Slots)))
+		longFree = longFree || (sum.Sum() < o.Slots && float64(sum.Long+1) <= max(1, maxLongShare*float64(o.Slots)))
 	}
 	require.Equal(m.t, free, m.g.Free())
 	for name, n := range m.need {
-		require.False(m.t, n.Short > 0 && free > 0, "short work of %s waits beside a free slot", name)
-		require.False(m.t, n.Long > 0 && longRoom, "long work of %s waits beside a slot that it may use", name)
+		require.False(m.t, n.Short > 0 && free > 0, "short work of %s waits although a slot is free", name)
+		require.False(m.t, n.Long > 0 && longFree, "long work of %s waits although it may use a free slot", name)
 	}
 	c := m.g.TakeChecks()
 	require.Zero(m.t, c.Violated)
 	require.Positive(m.t, c.Made)
 }
 
-func (m *granterModel) members() []string { return []string{testSelf, "entry-1", "entry-2", "entry-3"} }
+func (m *allocatorModel) members() []string {
+	return []string{testSelf, "entry-1", "entry-2", "entry-3"}
+}
 
-func (m *granterModel) demand(name string) {
+func (m *allocatorModel) demand(name string) {
 	n := Count{Short: rapid.IntRange(0, 20).Draw(m.t, "short"), Long: rapid.IntRange(0, 5).Draw(m.t, "long")}
 	wait := time.Duration(rapid.IntRange(0, 500).Draw(m.t, "wait")) * time.Millisecond
 	delete(m.gone, name)
 	m.need[name] = n
-	m.take(m.g.Demand(name, Need{Tasks: n, ShortWait: wait, LongWait: wait, Received: m.number[name]}, m.now))
+	m.receive(m.g.Demand(name, Need{Tasks: n, ShortWait: wait, LongWait: wait, Received: m.number[name]}, m.now))
 }
 
-func (m *granterModel) giveBack(name string) {
+func (m *allocatorModel) returnSlots(name string) {
 	for _, o := range m.offers {
 		c := m.held[name][o.Worker]
 		if c.Sum() == 0 {
@@ -93,25 +95,25 @@
 		}
 		r := Count{Short: rapid.IntRange(0, c.Short).Draw(m.t, "short"), Long: rapid.IntRange(0, c.Long).Draw(m.t, "long")}
 		m.held[name][o.Worker] = Count{Short: c.Short - r.Short, Long: c.Long - r.Long}
-		m.take(m.g.Return(name, []Held{{Worker: o.Worker, Slots: r}}, m.now))
+		m.receive(m.g.Return(name, []Held{{Worker: o.Worker, Slots: r}}, m.now))
 	}
 }
 
-func (m *granterModel) report(name string) {
+func (m *allocatorModel) report(name string) {
 	var held []Held
 	for w, c := range m.held[name] {
 		if c.Sum() > 0 {
 			held = append(held, Held{Worker: w, Slots: c})
 		}
 	}
-	m.take(m.g.Report(name, held, m.number[name], false, m.now))
+	m.receive(m.g.Report(name, held, m.number[name], false, m.now))
 }
 
-// Guards the counts of a granter: never more than a worker's slots, long work within its share, nothing to members
-// that are gone, no free slot beside a demand that may use it, and nothing missing when all is returned.
-func TestGranterProperties(t *testing.T) {
+// Guards the counts of an allocator: never more than a worker's slots, long work within its share, no grants to
+// members that are gone, no free slot while a demand could use it, and no slot lost once all are returned.
+func TestAllocatorProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &granterModel{
+		m := &allocatorModel{
 			t: t, g: NewGranter(testSelf, 1), now: time.Unix(1000, 0),
 			offers: testOffers(rapid.IntRange(1, 5).Draw(t, "workers"), rapid.IntRange(1, 9).Draw(t, "slots")),
 			held:   make(map[string]map[machine.WorkerID]Count), need: make(map[string]Count),
@@ -121,7 +123,7 @@
 		member := rapid.SampledFrom(m.members())
 		t.Repeat(map[string]func(*rapid.T){
 			"demand": func(t *rapid.T) { m.t = t; m.demand(member.Draw(t, "member")) },
-			"return": func(t *rapid.T) { m.t = t; m.giveBack(member.Draw(t, "member")) },
+			"return": func(t *rapid.T) { m.t = t; m.returnSlots(member.Draw(t, "member")) },
 			"report": func(t *rapid.T) { m.t = t; m.report(member.Draw(t, "member")) },
 			"gone": func(t *rapid.T) {
 				m.t = t
@@ -129,7 +131,7 @@
 				m.gone[name] = true
 				delete(m.held, name)
 				delete(m.need, name)
-				m.take(m.g.MemberGone(name, m.now))
+				m.receive(m.g.MemberGone(name, m.now))
 			},
 			"time": func(t *rapid.T) {
 				m.t = t
@@ -141,21 +143,21 @@
 					// Members renew their grants and refresh their demands.
 					m.report(name)
 					n := m.need[name]
-					m.take(m.g.Demand(name, Need{Tasks: n, Received: m.number[name]}, m.now))
+					m.receive(m.g.Demand(name, Need{Tasks: n, Received: m.number[name]}, m.now))
 				}
-				m.take(m.g.Tick(m.now))
+				m.receive(m.g.Tick(m.now))
 			},
 			"": func(t *rapid.T) { m.t = t; m.check() },
 		})
 		m.t = t
 		for _, name := range m.members() {
 			m.need[name] = Count{}
-			m.take(m.g.Demand(name, Need{Received: m.number[name]}, m.now))
+			m.receive(m.g.Demand(name, Need{Received: m.number[name]}, m.now))
 		}
 		for _, name := range m.members() {
 			for w, c := range m.held[name] {
 				m.held[name][w] = Count{}
-				m.take(m.g.Return(name, []Held{{Worker: w, Slots: c}}, m.now))
+				m.receive(m.g.Return(name, []Held{{Worker: w, Slots: c}}, m.now))
 			}
 		}
 		m.check()
@@ -165,9 +167,9 @@
 	})
 }
 
-// Guards against granting twice what members hold of workers taken over: nothing before all have reported or the wait
-// is over, and what they report counts.
-func TestGranterTakeover(t *testing.T) {
+// Guards against granting slots of workers taken over that members already hold: nothing is granted before all
+// members have reported or TakeoverWait has passed, and the reported slots count.
+func TestAllocatorTakeover(t *testing.T) {
 	now := time.Unix(1000, 0)
 	offers := testOffers(1, 8)
 	need := Need{Tasks: Count{Short: 20}}
@@ -178,34 +180,34 @@
 	require.Empty(t, g.Tick(now.Add(TakeoverWait-time.Millisecond)))
 	out := g.Report("entry-2", []Held{{Worker: "w0", Slots: Count{Short: 2, Long: 1}}}, 0, true, now)
 	require.Len(t, out, 1)
-	require.Equal(t, 2, out[0].Slots.Short, "eight slots less one of its own and five reported")
+	require.Equal(t, 2, out[0].Slots.Short, "eight slots minus one of its own and five reported")
 
 	g = NewGranter(testSelf, 2)
 	require.True(t, g.Assign(offers, nil, []string{"entry-1"}, now))
 	require.Empty(t, g.Demand(testSelf, need, now))
-	require.Len(t, g.Tick(now.Add(TakeoverWait)), 1, "a member that does not answer is waited for only so long")
+	require.Len(t, g.Tick(now.Add(TakeoverWait)), 1, "a member that does not answer delays grants for TakeoverWait only")
 }
 
-// Guards against slots lost with a holder that stops to report, and against grants in flight that a report wipes out.
-func TestGranterRenewal(t *testing.T) {
+// Guards against slots lost with a holder that stops reporting, and against a report that removes grants in transit.
+func TestAllocatorRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(testSelf, 1)
 	g.Assign(testOffers(1, 8), nil, nil, now)
 	out := g.Demand("entry-1", Need{Tasks: Count{Short: 3}}, now)
 	require.Len(t, out, 1)
 	g.Report("entry-1", nil, 0, false, now.Add(time.Millisecond))
-	require.Equal(t, 5, g.Free(), "the grant has not arrived when the report was sent")
+	require.Equal(t, 5, g.Free(), "the grant had not arrived when the report was sent")
 	g.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, out[0].Number, false, now.Add(time.Second))
 	require.Equal(t, 6, g.Free())
 	g.Tick(now.Add(time.Second + GrantTTL))
 	require.Equal(t, 6, g.Free())
 	g.Tick(now.Add(time.Second + GrantTTL + time.Millisecond))
-	require.Equal(t, 8, g.Free(), "grants lapse")
+	require.Equal(t, 8, g.Free(), "grants expire")
 }
 
-// Guards against granting a slot again and again that another granter has given away: it is withheld, offered again
-// later, and free at once after the member that may hold it has reported.
-func TestGranterReject(t *testing.T) {
+// Guards against repeated grants of a slot that another allocator has granted: it is withheld, granted again later,
+// and free immediately once the member that may hold it has reported.
+func TestAllocatorReject(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(testSelf, 1)
 	g.Assign(testOffers(1, 2), nil, nil, now)
@@ -213,7 +215,7 @@
 	require.Equal(t, 2, out[0].Slots.Short)
 	require.Empty(t, g.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now))
 	require.Zero(t, g.Free())
-	g.Tick(now.Add(withholdFor + time.Millisecond))
+	g.Tick(now.Add(withholdTime + time.Millisecond))
 	require.Equal(t, 1, g.Free())
 
 	g.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now)
@@ -223,9 +225,9 @@
 	require.Equal(t, 2, g.Free())
 }
 
-// Guards fairness: slots are recalled from work that is clearly younger, not from work of about the same age, and not
-// further while the difference shrinks.
-func TestGranterRecalls(t *testing.T) {
+// Guards fairness: slots are recalled from work that is clearly younger, not from work of about the same age, and no
+// more are recalled while the difference shrinks.
+func TestAllocatorRecalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(testSelf, 1)
 	g.Assign(testOffers(2, 8), nil, nil, now)
@@ -250,8 +252,8 @@
 	require.Empty(t, g.Recalls(later), "the difference shrinks")
 }
 
-// Guards the choice of worker: short work gets the fastest free one, long work the slowest.
-func TestGranterChoice(t *testing.T) {
+// Guards the choice of worker: short work gets the fastest free worker, long work the slowest.
+func TestAllocatorWorkerChoice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(testSelf, 1)
 	g.Assign([]Offer{{Worker: "slow", Slots: 2, Speed: 0.5}, {Worker: "fast", Slots: 2, Speed: 2}}, nil, nil, now)
@@ -263,32 +265,33 @@
 	require.Equal(t, Count{Long: 1}, out[1].Slots)
 }
 
-// Guards against asking for a task twice and against asking a granter that has nothing while another has.
-func TestAskerProperties(t *testing.T) {
+// Guards against requesting slots for a task twice and against demands at an allocator without free slots while
+// another one has some.
+func TestDemandPlannerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := NewDemandPlanner(testSelf)
+		p := NewDemandPlanner(testSelf)
 		slots := map[string]int{testSelf: 8, "entry-1": 16, "entry-2": 0, "entry-3": 40}
-		a.SetGranters(slots)
+		p.SetGranters(slots)
 		now := time.Unix(1000, 0)
-		stated := make(map[string]Count)
+		sent := make(map[string]Count)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			for name, n := range slots {
 				if rapid.Bool().Draw(t, "hint") {
-					a.Hint(name, rapid.IntRange(0, n).Draw(t, "free"), now)
+					p.Hint(name, rapid.IntRange(0, n).Draw(t, "free"), now)
 				}
 			}
 			need := Count{Short: rapid.IntRange(0, 60).Draw(t, "short"), Long: rapid.IntRange(0, 10).Draw(t, "long")}
-			for _, ask := range a.Plan(need, now) {
-				stated[ask.Granter] = ask.Tasks
+			for _, part := range p.Plan(need, now) {
+				sent[part.Granter] = part.Tasks
 			}
-			// Changes may wait for their interval; after it the statements add up to the need.
-			now = now.Add(refreshDemand)
-			for _, ask := range a.Plan(need, now) {
-				stated[ask.Granter] = ask.Tasks
+			// Changes may be delayed by their interval; after it the parts add up to the need.
+			now = now.Add(demandRefreshInterval)
+			for _, part := range p.Plan(need, now) {
+				sent[part.Granter] = part.Tasks
 			}
 			var sum Count
-			for _, c := range stated {
+			for _, c := range sent {
 				sum.Short += c.Short
 				sum.Long += c.Long
 			}
@@ -297,18 +300,18 @@
 	})
 }
 
-// Guards against a demand that is spread over granters without free slots while one has enough.
-func TestAskerBestFirst(t *testing.T) {
-	a := NewDemandPlanner(testSelf)
-	a.SetGranters(map[string]int{testSelf: 8, "entry-1": 8, "entry-2": 8})
+// Guards against a demand that is spread over allocators without free slots while one has enough.
+func TestDemandPlannerPrefersFreeSlots(t *testing.T) {
+	p := NewDemandPlanner(testSelf)
+	p.SetGranters(map[string]int{testSelf: 8, "entry-1": 8, "entry-2": 8})
 	now := time.Unix(1000, 0)
-	a.Hint("entry-1", 2, now)
-	a.Hint("entry-2", 6, now)
-	asks := a.Plan(Count{Short: 5}, now)
-	require.Equal(t, []DemandPart{{Granter: "entry-2", Tasks: Count{Short: 5}}}, asks)
-	a.Hint("entry-1", 8, now)
-	require.Empty(t, a.Plan(Count{Short: 5}, now), "an answer is under way")
-	a.Overheard("entry-2", 0, now)
-	require.Empty(t, a.Plan(Count{Short: 5}, now), "an older statement is no answer")
-	require.Equal(t, []DemandPart{{Granter: "entry-2"}}, a.Plan(Count{}, now), "a demand that has ended is withdrawn")
+	p.Hint("entry-1", 2, now)
+	p.Hint("entry-2", 6, now)
+	parts := p.Plan(Count{Short: 5}, now)
+	require.Equal(t, []DemandPart{{Granter: "entry-2", Tasks: Count{Short: 5}}}, parts)
+	p.Hint("entry-1", 8, now)
+	require.Empty(t, p.Plan(Count{Short: 5}, now), "a reply is still in transit")
+	p.Overheard("entry-2", 0, now)
+	require.Empty(t, p.Plan(Count{Short: 5}, now), "an older report does not answer the demand")
+	require.Equal(t, []DemandPart{{Granter: "entry-2"}}, p.Plan(Count{}, now), "a demand without a need is withdrawn")
 }
--- a/zone/granterview.go
+++ b/zone/granterview.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// WorkerGrants is what a granter has granted of one worker.
+// WorkerGrants lists the slots of one worker that an allocator has granted.
 type WorkerGrants struct {
 	Worker machine.WorkerID
 	Slots  int
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// HomeRetention is how long an incarnation that has ended is remembered: the longest deadline of a job plus the
-	// retention of answers, with room to spare.
+	// HomeRetention is how long the record of an incarnation that has ended is kept: more than the longest deadline of a
+	// job plus the retention of answers.
 	HomeRetention = 30 * time.Minute
-	// unlistedLimit is how long the list may take to show a new VM.
+	// unlistedLimit is the time allowed for the list to show a new VM.
 	unlistedLimit = 15 * time.Second
-	// maxHomes bounds the memory; beyond it the incarnations that ended first are forgotten. A failure domain sees a
-	// few hundred ends a day at most.
+	// maxHomes bounds the memory; beyond it the records of incarnations that are not the current ones of their VMs are
+	// deleted early. In a failure domain at most a few hundred incarnations end per day.
 	maxHomes = 4096
 	// maxSuccessions bounds the successors followed for one incarnation.
 	maxSuccessions = 16
 )
 
-// HomeState is what is known of an incarnation that mints job ids.
+// HomeState is the known state of a home: an incarnation that mints job ids and answers for them.
 type HomeState uint8
 
 // Home states. A gone home never answers again; a silent one may.
@@ -31,31 +31,31 @@
 	HomeGone
 )
 
-// Home is what Locate finds.
+// Home is the result of Locate.
 type Home struct {
 	State       HomeState
 	VM          string
 	Incarnation machine.Incarnation
 }
 
-// Succession names the incarnation that answers for a home which stops or has stopped.
+// Succession names the incarnation that answers for a home that is stopping or has stopped.
 type Succession struct {
 	Home        machine.Incarnation
 	VM          string
 	Successor   machine.Incarnation
 	SuccessorVM string
-	// Complete is set once the home has handed over everything. Before that calls go to the home itself unless it
-	// is gone.
+	// Complete is set once the home has handed over everything. Until then calls go to the home itself unless it is
+	// gone.
 	Complete bool
 }
 
 // Homes holds the incarnations of the entry VMs of one failure domain. Its mutex guards all fields.
 //
-// Rule for the answer "outcome unknown": it is given for an incarnation that is gone, and an incarnation is gone when
-// its VM runs another one, when the list has dropped its VM for the time after which silent members count as gone, or
-// when more than half of the listed members, none of which has heard it for that time, have promised to refuse it for
-// ever. A home gives final answers only while its AnswerLease holds, which is never the case after that many promises,
-// so that a home which returns from a partition cannot contradict the answer.
+// The answer "outcome unknown" is given only for an incarnation that is gone. An incarnation is gone when its VM runs
+// another one, when the list has omitted its VM for SilenceLimit, or when more than half of the listed members, none
+// of which has received a message from it for that time, have promised to refuse it permanently. A home gives final
+// answers only while its AnswerLease holds, which is never the case after that many promises, so a home that returns
+// from a partition cannot contradict the answer.
 type Homes struct {
 	mu      sync.Mutex
 	records map[machine.Incarnation]*homeRecord
@@ -64,19 +64,20 @@
 
 type homeRecord struct {
 	vm string
-	// heard is the time of the last message; zero if the incarnation is only known from others, who named it first at
-	// learned.
-	heard   time.Time
-	learned time.Time
-	// listed says that the list has shown the VM; before that, missing is the time since which it has not.
-	listed  bool
-	missing time.Time
-	dropped time.Time
-	// promised and gone refuse the incarnation permanently.
-	promised bool
-	gone     bool
-	since    time.Time // end, for the retention
-	next     Succession
+	// lastContact is the time of the last message; zero if the incarnation is known only from other members, the first
+	// of which reported it at reportedAt.
+	lastContact time.Time
+	reportedAt  time.Time
+	// listed is set once the list has shown the VM; until then, unlistedSince is the time since which it has been
+	// missing.
+	listed        bool
+	unlistedSince time.Time
+	droppedAt     time.Time
+	// refusalPromised and gone refuse the incarnation permanently.
+	refusalPromised bool
+	gone            bool
+	retainedSince   time.Time // start of the retention period
+	succession      Succession
 }
 
 // NewHomes returns an empty registry.
@@ -96,17 +97,17 @@
 	return r
 }
 
-// Heard records a message of an incarnation. It returns accepted false if the message must not be acknowledged, and
-// fresh true for the first message of an incarnation.
+// Heard records a message from an incarnation. It returns accepted=false if the message must not be acknowledged, and
+// fresh=true for the first message of an incarnation.
 func (h *Homes) Heard(vm string, inc machine.Incarnation, now time.Time) (accepted, fresh bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(inc, vm)
-	if r.promised || r.gone || !r.dropped.IsZero() {
+	if r.refusalPromised || r.gone || !r.droppedAt.IsZero() {
 		return false, false
 	}
-	fresh = r.heard.IsZero()
-	r.heard = now
+	fresh = r.lastContact.IsZero()
+	r.lastContact = now
 	if old := h.current[vm]; old != inc && old != 0 {
 		h.end(h.records[old], now)
 	}
@@ -114,25 +115,25 @@
 	return true, fresh
 }
 
-// Know takes over that another member has heard an incarnation. Without it, the knowledge of a home that crashes is
-// lost when all members that have heard it are replaced before its end is noticed.
+// Know records that another member has received a message from an incarnation. Without it, a home that crashes would
+// be forgotten if all members that received its messages are replaced before its end is detected.
 func (h *Homes) Know(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, ok := h.records[inc]; !ok {
-		h.record(inc, vm).learned = now
+		h.record(inc, vm).reportedAt = now
 	}
 }
 
-// endReplaced ends the incarnations that are known from others only and whose VM still runs another one: a newer one
-// would have silenced it. It expects h.mu to be held.
+// endReplaced ends the incarnations that are known only from other members and whose VM still runs another one: a
+// newer incarnation would have replaced that one and ended its messages. It expects h.mu to be held.
 func (h *Homes) endReplaced(now time.Time) {
 	for inc, r := range h.records {
-		if r.learned.IsZero() || !r.heard.IsZero() || now.Sub(r.learned) < SilenceLimit {
+		if r.reportedAt.IsZero() || !r.lastContact.IsZero() || now.Sub(r.reportedAt) < SilenceLimit {
 			continue
 		}
 		current, ok := h.records[h.current[r.vm]]
-		if ok && h.current[r.vm] != inc && now.Sub(current.heard) < SilenceLimit {
+		if ok && h.current[r.vm] != inc && now.Sub(current.lastContact) < SilenceLimit {
 			h.end(r, now)
 		}
 	}
@@ -144,7 +145,7 @@
 		return
 	}
 	r.gone = true
-	r.since = now
+	r.retainedSince = now
 }
 
 // Refuses reports whether an incarnation is refused permanently.
@@ -152,10 +153,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := h.records[inc]
-	return ok && (r.promised || r.gone)
+	return ok && (r.refusalPromised || r.gone)
 }
 
-// ApplyList notes which VMs the list has dropped.
+// ApplyList records which VMs the list has dropped and ends the incarnations that were dropped long enough.
 func (h *Homes) ApplyList(listed map[string]bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,92 +164,92 @@
 		switch {
 		case listed[r.vm]:
 			r.listed = true
-			r.dropped = time.Time{}
+			r.droppedAt = time.Time{}
 		case !r.listed:
-			h.unlisted(r, now)
-		case r.dropped.IsZero():
-			r.dropped = now
-		case now.Sub(r.dropped) >= SilenceLimit:
+			h.endUnlisted(r, now)
+		case r.droppedAt.IsZero():
+			r.droppedAt = now
+		case now.Sub(r.droppedAt) >= SilenceLimit:
 			h.end(r, now)
 		}
 	}
 	h.endReplaced(now)
 }
 
-// unlisted ends a silent incarnation whose VM the list has never shown. The list lags behind a VM that has just been
-// added, so that more time is allowed than for one that was dropped. It expects h.mu to be held.
-func (h *Homes) unlisted(r *homeRecord, now time.Time) {
-	if r.missing.IsZero() {
-		r.missing = now
+// endUnlisted ends a silent incarnation whose VM the list has never shown. The list lags behind a VM that has just
+// been added, so it is given more time than a VM that was dropped. It expects h.mu to be held.
+func (h *Homes) endUnlisted(r *homeRecord, now time.Time) {
+	if r.unlistedSince.IsZero() {
+		r.unlistedSince = now
 	}
-	if now.Sub(r.missing) >= unlistedLimit && now.Sub(r.heard) >= SilenceLimit {
+	if now.Sub(r.unlistedSince) >= unlistedLimit && now.Sub(r.lastContact) >= SilenceLimit {
 		h.end(r, now)
 	}
 }
 
-// Ended takes over that an incarnation has ended, as reported by another member.
+// Ended records that an incarnation has ended, as reported by another member.
 func (h *Homes) Ended(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.end(h.record(inc, vm), now)
 }
 
-// Succeed records who answers for a home, as announced by the home. A complete succession is never taken back; before
-// that the home may turn to another successor. It reports whether a complete succession is news.
+// Succeed records the successor of a home, as announced by the home. A complete succession is never reverted; before
+// that the home may choose another successor. It reports whether a complete succession is new.
 func (h *Homes) Succeed(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.succeed(s, now)
+	return h.setSuccession(s, now)
 }
 
-// Learn is Succeed for what others report, which may be older than what is known.
+// Learn is Succeed for reports from other members, which may be older than what is known.
 func (h *Homes) Learn(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r, ok := h.records[s.Home]; ok && r.next.Successor != 0 && !s.Complete {
+	if r, ok := h.records[s.Home]; ok && r.succession.Successor != 0 && !s.Complete {
 		return false
 	}
-	return h.succeed(s, now)
+	return h.setSuccession(s, now)
 }
 
-// succeed expects h.mu to be held.
-func (h *Homes) succeed(s Succession, now time.Time) bool {
+// setSuccession expects h.mu to be held.
+func (h *Homes) setSuccession(s Succession, now time.Time) bool {
 	r := h.record(s.Home, s.VM)
-	if r.next.Complete {
+	if r.succession.Complete {
 		return false
 	}
-	r.next = s
-	if r.since.IsZero() {
-		r.since = now
+	r.succession = s
+	if r.retainedSince.IsZero() {
+		r.retainedSince = now
 	}
 	if _, ok := h.records[s.Successor]; !ok {
-		h.record(s.Successor, s.SuccessorVM).since = now
+		h.record(s.Successor, s.SuccessorVM).retainedSince = now
 	}
 	return s.Complete
 }
 
-// Silent reports whether a home that was heard before has not been heard for SilenceLimit. With promise set it is
-// refused from then on.
+// Silent reports whether a home that was in contact before has been silent for SilenceLimit. With promise set, the
+// home is refused from then on.
 func (h *Homes) Silent(inc machine.Incarnation, promise bool, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := h.records[inc]
-	if !ok || r.heard.IsZero() {
+	if !ok || r.lastContact.IsZero() {
 		return false
 	}
-	if !r.promised && !r.gone && now.Sub(r.heard) < SilenceLimit {
+	if !r.refusalPromised && !r.gone && now.Sub(r.lastContact) < SilenceLimit {
 		return false
 	}
-	if promise && !r.promised {
-		r.promised = true
-		if r.since.IsZero() {
-			r.since = now
+	if promise && !r.refusalPromised {
+		r.refusalPromised = true
+		if r.retainedSince.IsZero() {
+			r.retainedSince = now
 		}
 	}
 	return true
 }
 
-// Locate returns the incarnation that answers for the ids of inc, following successors.
+// Locate returns the incarnation that answers for the job ids of inc, following successors.
 func (h *Homes) Locate(inc machine.Incarnation, now time.Time) Home {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -257,8 +258,8 @@
 		if !ok {
 			return Home{State: HomeUnknown, Incarnation: inc}
 		}
-		if next := r.next; next.Successor != 0 && (next.Complete || r.gone) {
-			inc = next.Successor
+		if succession := r.succession; succession.Successor != 0 && (succession.Complete || r.gone) {
+			inc = succession.Successor
 			continue
 		}
 		return Home{State: r.state(now), VM: r.vm, Incarnation: inc}
@@ -270,26 +271,26 @@
 	switch {
 	case r.gone:
 		return HomeGone
-	case r.promised || !r.dropped.IsZero():
+	case r.refusalPromised || !r.droppedAt.IsZero():
 		return HomeSilent
-	case r.heard.IsZero():
-		// Known from others only; a call to it shows whether it runs.
+	case r.lastContact.IsZero():
+		// Known only from other members; a call to it shows whether it runs.
 		return HomeRunning
-	case now.Sub(r.heard) >= SilenceLimit:
+	case now.Sub(r.lastContact) >= SilenceLimit:
 		return HomeSilent
 	default:
 		return HomeRunning
 	}
 }
 
-// Current returns the incarnation that was last heard on a VM, zero if none.
+// Current returns the incarnation that last sent a message from a VM, zero if none.
 func (h *Homes) Current(vm string) machine.Incarnation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current[vm]
 }
 
-// HomeReport is what a member tells another one that has just appeared.
+// HomeReport is the state that a member sends to another one that has just appeared.
 type HomeReport struct {
 	Successions []Succession
 	// Ended and Known name the VM of each incarnation.
@@ -297,14 +298,14 @@
 	Known map[machine.Incarnation]string
 }
 
-// Report returns what is known of all incarnations.
+// Report returns the known state of all incarnations.
 func (h *Homes) Report() HomeReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := HomeReport{Ended: make(map[machine.Incarnation]string), Known: make(map[machine.Incarnation]string)}
 	for inc, r := range h.records {
-		if r.next.Successor != 0 {
-			out.Successions = append(out.Successions, r.next)
+		if r.succession.Successor != 0 {
+			out.Successions = append(out.Successions, r.succession)
 		}
 		if r.gone {
 			out.Ended[inc] = r.vm
@@ -315,28 +316,29 @@
 	return out
 }
 
-// Expire forgets the incarnations that ended longer than HomeRetention ago, and the oldest beyond the bound.
+// Expire deletes the records of incarnations that ended longer than HomeRetention ago. While there are more than
+// maxHomes records, it also deletes newer ones of incarnations that are not current.
 func (h *Homes) Expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for inc, r := range h.records {
 		over := len(h.records) > maxHomes
-		if h.current[r.vm] != inc && (over || now.Sub(r.latest()) >= HomeRetention) {
+		if h.current[r.vm] != inc && (over || now.Sub(r.lastEvent()) >= HomeRetention) {
 			delete(h.records, inc)
 		}
 	}
 	for vm, inc := range h.current {
 		r := h.records[inc]
-		if r.gone && now.Sub(r.latest()) >= HomeRetention {
+		if r.gone && now.Sub(r.lastEvent()) >= HomeRetention {
 			delete(h.records, inc)
 			delete(h.current, vm)
 		}
 	}
 }
 
-func (r *homeRecord) latest() time.Time {
-	last := r.since
-	for _, t := range []time.Time{r.heard, r.learned} {
+func (r *homeRecord) lastEvent() time.Time {
+	last := r.retainedSince
+	for _, t := range []time.Time{r.lastContact, r.reportedAt} {
 		if t.After(last) {
 			last = t
 		}
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -10,8 +10,8 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Guards against contradicting answers: whatever members hear and promise, a home that enough members have promised to
-// refuse holds no answer lease, then or later.
+// Guards against contradicting answers: whatever messages members receive and whatever they promise, a home that a
+// quorum has promised to refuse never holds its answer lease again.
 func TestDeclaredHomeHoldsNoAnswerLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const home = machine.Incarnation(7)
@@ -55,7 +55,7 @@
 	})
 }
 
-// Guards against an id that is answered as lost although its home has handed it over, and against a circle of
+// Guards against an id that is answered as lost although its home has handed it over, and against a cycle of
 // successors.
 func TestLocateFollowsSuccessors(t *testing.T) {
 	h := NewHomes()
@@ -75,7 +75,7 @@
 	require.Equal(t, HomeUnknown, h.Locate(1, now).State)
 }
 
-// Guards against a restarted process that is taken for the old one, and an old one that returns.
+// Guards against treating a restarted process as the old one, and against accepting messages of the old one again.
 func TestReplacedIncarnationIsGoneAtOnce(t *testing.T) {
 	h := NewHomes()
 	now := time.Unix(1000, 0)
@@ -88,7 +88,7 @@
 	require.Equal(t, HomeRunning, h.Locate(2, now).State)
 }
 
-// Guards against "outcome unknown" for a home that the list drops for a moment only.
+// Guards against "outcome unknown" for a home that is missing from the list only briefly.
 func TestDroppedHomeIsGoneAfterSilenceLimit(t *testing.T) {
 	h := NewHomes()
 	now := time.Unix(1000, 0)
@@ -103,7 +103,7 @@
 	require.Equal(t, HomeGone, h.Locate(1, now).State)
 }
 
-// Guards against slots that come back later than 3 s after a crash, with a check every 500 ms.
+// Guards against slots that are taken back later than 3 s after a crash, with a check every 500 ms.
 func TestSilentMemberIsGoneWithinThreeSeconds(t *testing.T) {
 	d := NewFailureDomain(1, "self")
 	now := time.Unix(1000, 0)
@@ -120,8 +120,8 @@
 	require.NotZero(t, gone)
 }
 
-// Guards against slots that stay with the old process when a VM's process restarts within the suspicion time.
-func TestRestartedMemberGivesEverythingUp(t *testing.T) {
+// Guards against slots that stay assigned to the old process when a VM's process restarts before it is suspected.
+func TestRestartedMemberLosesItsSlots(t *testing.T) {
 	d := NewFailureDomain(1, "self")
 	now := time.Unix(1000, 0)
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1}}, now)
@@ -132,10 +132,10 @@
 	require.Equal(t, MemberLive, changes[1].To)
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1, Leaving: true}}, now)
 	d.Heard("a", 3, false, now)
-	require.Empty(t, d.Live(), "leaving is never taken back")
+	require.Empty(t, d.Live(), "leaving is never reverted")
 }
 
-// Guards against a member that is gone and listed as leaving, and changes its state with each list and each check.
+// Guards against a member that is gone but listed as leaving and changes state with each list and each check.
 func TestGoneMemberStaysGoneWhileListedAsLeaving(t *testing.T) {
 	d := NewFailureDomain(1, "self")
 	now := time.Unix(1000, 0)
@@ -150,10 +150,10 @@
 	require.Empty(t, d.Live())
 }
 
-// Guards against a crashed home that is forgotten because the members that had heard it are replaced before its end is
-// noticed: a member that knows it from others only must find it gone, by the list or by the next process on its VM, and
-// must not end a process that is newer than the one it hears.
-func TestHomeKnownFromOthersIsGone(t *testing.T) {
+// Guards against a crashed home that is forgotten because the members that were in contact with it are replaced
+// before its end is detected. A member that knows it only from others must find it gone, by the list or by the next
+// process on its VM, and must not end a process that is newer than the one it is in contact with.
+func TestReportedHomeIsGone(t *testing.T) {
 	const home, next = machine.Incarnation(7), machine.Incarnation(8)
 	now := time.Unix(1000, 0)
 	dropped := NewHomes()
@@ -178,8 +178,8 @@
 	require.Equal(t, HomeRunning, stale.Locate(next, later).State)
 }
 
-// Guards against a new VM whose home counts as gone because the list lags: members heard of it before the list showed it,
-// and answered its jobs as lost while it ran them (soak seeds 110 and 136).
+// Guards against declaring the home of a new VM gone because the list lags: members knew it before the list showed
+// it, and answered its jobs as lost while it ran them (soak seeds 110 and 136).
 func TestUnlistedHomeIsNotDropped(t *testing.T) {
 	const home = machine.Incarnation(7)
 	now := time.Unix(1000, 0)
--- a/zone/member.go
+++ b/zone/member.go
@@ -9,7 +9,7 @@
 // MemberState is the state of an entry VM as its peers see it.
 type MemberState uint8
 
-// Member states. Leaving is never taken back.
+// Member states. Leaving is never reverted to live.
 const (
 	MemberJoining MemberState = iota
 	MemberLive
@@ -30,7 +30,7 @@
 type memberEvent uint8
 
 const (
-	eventHeard memberEvent = iota
+	eventContact memberEvent = iota
 	eventSilent
 	eventExpired
 	eventLeave
@@ -39,7 +39,8 @@
 
 type memberStateKey struct{}
 
-// memberMachine serves all members: building one machine per member would cost far more than a transition.
+// memberMachine is shared by all members: building one state machine per member would cost far more than a
+// transition.
 var memberMachine = newMemberMachine()
 
 func newMemberMachine() *stateless.StateMachine {
@@ -54,7 +55,7 @@
 		stateless.FiringImmediate,
 	)
 	m.Configure(MemberJoining).
-		Permit(eventHeard, MemberLive).
+		Permit(eventContact, MemberLive).
 		Permit(eventExpired, MemberGone).
 		Permit(eventLeave, MemberLeaving).
 		Permit(eventDropped, MemberGone)
@@ -63,7 +64,7 @@
 		Permit(eventLeave, MemberLeaving).
 		Permit(eventDropped, MemberGone)
 	m.Configure(MemberSuspect).
-		Permit(eventHeard, MemberLive).
+		Permit(eventContact, MemberLive).
 		Permit(eventExpired, MemberGone).
 		Permit(eventLeave, MemberLeaving).
 		Permit(eventDropped, MemberGone)
@@ -72,7 +73,7 @@
 		Permit(eventDropped, MemberGone)
 	// A member that was cut off for long enough to count as gone may return.
 	m.Configure(MemberGone).
-		Permit(eventHeard, MemberLive).
+		Permit(eventContact, MemberLive).
 		Permit(eventLeave, MemberLeaving)
 	m.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
 	return m
@@ -80,6 +81,6 @@
 
 func fireMember(s *MemberState, e memberEvent) {
 	ctx := context.WithValue(context.Background(), memberStateKey{}, s)
-	// Unhandled events are ignored by the machine, and its accessors cannot fail.
+	// The state machine ignores unhandled events, and its accessors cannot fail.
 	_ = memberMachine.FireCtx(ctx, e)
 }
--- a/zone/outgrow.go
+++ b/zone/outgrow.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Outgrow counts a slot of a member as held by long work, because its task has outgrown the short class. The cap of
+// Outgrow reclassifies a member's short slot as long, because its task has exceeded the short-task limit. The cap on
 // long work then admits fewer new long tasks.
 func (g *Granter) Outgrow(member string, worker machine.WorkerID, now time.Time) {
 	g.mu.Lock()
--- a/zone/ownership.go
+++ b/zone/ownership.go
@@ -8,18 +8,18 @@
 
 // Candidate is a member that may own workers.
 type Candidate struct {
-	// ID names the process, VM the machine: a process that is started again owns what the last one owned.
+	// ID identifies the process, VM the machine: a restarted process owns the workers that the previous one owned.
 	ID     string
 	VM     string
 	Domain string
-	// Weight is the share of workers that it should own, relative to the others.
+	// Weight is the relative share of workers that the candidate should own.
 	Weight float64
 }
 
-// OwnerOf returns the candidate that owns a worker: the one with the highest weighted rendezvous hash among those of the
-// worker's failure domain. A failure domain that is orphaned, which means that no member has been seen there for a while,
-// shares its workers among all candidates. Members that agree on the candidates agree on the owner, and a change of one
-// candidate moves only the workers that it owns before or after.
+// OwnerOf returns the candidate that owns a worker: the one with the highest weighted rendezvous hash among those of
+// the worker's failure domain. If the domain is orphaned, which means that no member has been seen there for a while,
+// its workers are shared among all candidates. Members with the same candidates compute the same owner, and a change
+// of one candidate moves only the workers that it owns before or after.
 func OwnerOf(worker, domain string, candidates []Candidate, orphaned bool) (string, bool) {
 	return highest(worker, candidates, func(c Candidate) bool { return orphaned || c.Domain == domain })
 }
@@ -38,7 +38,8 @@
 	return best, found
 }
 
-// rendezvousScore maps the hash to a score whose maximum falls on a candidate in proportion to its weight.
+// rendezvousScore maps the hash to a score such that each candidate has the highest score with a probability
+// proportional to its weight.
 func rendezvousScore(key string, c Candidate) float64 {
 	h := xxhash.Sum64String(key + "\x00" + c.VM)
 	u := (float64(h>>11) + 0.5) / (1 << 53)
--- a/zone/rank.go
+++ b/zone/rank.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Rank returns the number of VMs that come before self in the order of rendezvous hashes for key.
+// Rank returns the number of VMs that precede self in the order of rendezvous hashes for key.
 func Rank(key, self string, vms []machine.EntryVM) int {
 	hash := func(id string) uint64 { return xxhash.Sum64String(key + "\x00" + id) }
 	own := hash(self)
--- a/zone/recall.go
+++ b/zone/recall.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// recallInterval spaces the recalls of a granter, so that the effect of one is seen before the next.
+	// recallInterval is the minimum interval between recalls, so that the effect of one is seen before the next.
 	recallInterval = 50 * time.Millisecond
-	// recallShare is the largest part of a granter's slots recalled at a time.
+	// recallShare is the maximum share of an allocator's slots recalled at a time.
 	recallShare = 1.0 / 16
-	// recallTimeout is the time after which a recalled slot no longer counts as about to return.
+	// recallTimeout is the time after which a recalled slot is no longer expected to be returned.
 	recallTimeout = 400 * time.Millisecond
-	// RecallMargin is the least difference of waiting times for which slots change hands.
+	// RecallMargin is the minimum difference of waiting times at which slots are recalled.
 	RecallMargin = 20 * time.Millisecond
-	// recallRatio adds a part of the longer wait to the margin: at a deep backlog the waits as known to the granter
-	// differ by the age of the reports.
+	// recallRatio adds a fraction of the longer wait to the margin: with a long backlog the waits known to the allocator
+	// are off by the age of the reports.
 	recallRatio = 0.125
 )
 
@@ -23,12 +23,12 @@
 type Recall struct {
 	Member string
 	Slots  int
-	// Wait is the wait of the demander's oldest task. A holder whose own work has waited about as long keeps its
-	// slots in use.
+	// Wait is the wait of the demander's oldest task. A holder whose own work has waited about as long keeps the slots
+	// that it uses.
 	Wait time.Duration
 }
 
-// recallState limits the recalls of a granter.
+// recallState limits the recalls of an allocator.
 type recallState struct {
 	at       time.Time
 	demander string
@@ -40,20 +40,20 @@
 	return wait > own+RecallMargin+time.Duration(recallRatio*float64(wait))
 }
 
-// Recalls returns the slots to ask back for the short work that has waited longest while no slot is free.
+// Recalls returns the slots to recall for the short work that has waited longest while no slot is free.
 func (g *Granter) Recalls(now time.Time) []Recall {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.short.Len() > 0 || now.Sub(g.recall.at) < recallInterval {
 		return nil
 	}
-	name, m := g.next(shortClass)
+	name, m := g.longestWaiting(shortClass)
 	if m == nil {
 		return nil
 	}
 	wait := max(0, now.Sub(m.shortSince))
 	holders := g.holders(name, wait, now)
-	if len(holders) == 0 || !g.widening(name, holders[0], now.Sub(m.shortSince)) {
+	if len(holders) == 0 || !g.gapGrows(name, holders[0], now.Sub(m.shortSince)) {
 		return nil
 	}
 	g.recall.at = now
@@ -79,8 +79,8 @@
 	wait  time.Duration
 }
 
-// holders returns the members that may have to give slots to the demander, the one with the youngest work first. It
-// expects g.mu to be held.
+// holders returns the members that may have to return slots for the demander, ordered by the wait of their oldest
+// task, shortest first. It expects g.mu to be held.
 func (g *Granter) holders(demander string, wait time.Duration, now time.Time) []holder {
 	slots := make(map[string]int)
 	for _, w := range g.workers {
@@ -95,7 +95,7 @@
 		if !m.backlog.IsZero() {
 			own = max(1, now.Sub(m.backlog))
 		}
-		// A member without waiting work may hold idle slots, which it returns for work of any age.
+		// A member without waiting work may hold idle slots, which it returns whatever the demander's wait is.
 		if n == demander || held-m.recalled <= 0 || (own > 0 && !MayRecall(wait, own)) {
 			continue
 		}
@@ -110,16 +110,16 @@
 	return out
 }
 
-// widening reports whether the difference between the waits still grows. While it shrinks the slots recalled so far
-// suffice, and more of them would make the difference change its sign. It expects g.mu to be held.
-func (g *Granter) widening(demander string, youngest holder, wait time.Duration) bool {
+// gapGrows reports whether the difference between the waits still grows. While it shrinks, the slots already recalled
+// suffice, and recalling more would reverse the difference. It expects g.mu to be held.
+func (g *Granter) gapGrows(demander string, youngest holder, wait time.Duration) bool {
 	gap := wait - youngest.wait
 	before, same := g.recall.gap, g.recall.demander == demander
 	g.recall.demander, g.recall.gap = demander, gap
 	return youngest.wait == 0 || !same || gap >= before
 }
 
-// outstanding counts the recalled slots that may still return. It expects g.mu to be held.
+// outstanding counts the recalled slots that may still be returned. It expects g.mu to be held.
 func (g *Granter) outstanding(now time.Time) int {
 	n := 0
 	for _, m := range g.members {
--- a/zone/rendezvous.go
+++ b/zone/rendezvous.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Choose returns the VM with the highest rendezvous hash for key. Members that agree on the live set agree on the
+// Choose returns the VM with the highest rendezvous hash for key. Members with the same live set make the same
 // choice, and the loss of a member moves only that member's keys.
 func Choose(key string, vms []machine.EntryVM) (machine.EntryVM, bool) {
 	var best machine.EntryVM
--- a/zone/rooms.go
+++ b/zone/rooms.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Priorities is the number of priorities whose waiting work owners tell apart; the last holds all lower ones.
+// Priorities is the number of priorities that owners report waiting work for; the last one includes all lower ones.
 const Priorities = 4
 
-// BackendRoom is what the workers of one owner and back end can take.
+// BackendRoom is the free capacity and the queue of one owner's workers for a back end.
 type BackendRoom struct {
-	// Free and Slots count tasks of typical size: those that could start now, and those that fit when all workers idle.
+	// Free and Slots count tasks of typical size: those that could start now, and those that fit when all workers are
+	// idle.
 	Free  int
 	Slots int
-	// Waiting is the work in the owner's queue by priority, in run time at the mean speed.
+	// Waiting is the work in the owner's queue by priority, as run time at the mean speed.
 	Waiting [Priorities]time.Duration
 }
 
-// Wait estimates how long a task of a priority waits for room.
+// Wait estimates how long a task of a priority waits for free capacity.
 func (r *BackendRoom) Wait(priority int) time.Duration {
 	if r.Slots == 0 {
-		return noWorkers
+		return noWorkersWait
 	}
 	if r.Free > 0 {
 		return 0
@@ -29,48 +30,50 @@
 	for p := 0; p <= min(priority, Priorities-1); p++ {
 		ahead += r.Waiting[p]
 	}
-	return fullWait + ahead/time.Duration(r.Slots)
+	return minFullWait + ahead/time.Duration(r.Slots)
 }
 
 const (
-	// noWorkers is the wait at an owner without workers.
-	noWorkers = time.Hour
-	// fullWait is the least wait at an owner without room.
-	fullWait = 10 * time.Millisecond
-	// neighbourCost and remoteCost are what an order to another VM costs in time, within the failure domain and beyond.
-	neighbourCost = time.Millisecond
-	remoteCost    = 4 * time.Millisecond
+	// noWorkersWait is the wait at an owner without workers.
+	noWorkersWait = time.Hour
+	// minFullWait is the minimum wait at an owner without free capacity.
+	minFullWait = 10 * time.Millisecond
+	// sameDomainCost and otherDomainCost are the latency of an order to another VM, within the failure domain and
+	// beyond.
+	sameDomainCost  = time.Millisecond
+	otherDomainCost = 4 * time.Millisecond
 )
 
-// owner is what is known of a member that owns workers.
-type owner struct {
-	domain  string
-	leaving bool
-	rooms   map[string]*BackendRoom
+// ownerState is the last report of a member that owns workers.
+type ownerState struct {
+	domain     string
+	leaving    bool
+	capacities map[string]*BackendRoom
 }
 
-// Rooms is the view that the homes of jobs have of the owners of workers. Its mutex guards all fields.
+// Rooms is the view that the homes of jobs have of the owners of workers and their free capacity. Its mutex guards
+// all fields but self and domain, which are not changed.
 type Rooms struct {
 	self   string
 	domain string
 
 	mu     sync.Mutex
-	owners map[string]*owner
+	owners map[string]*ownerState
 }
 
-// NewRooms returns an empty view of a member in a failure domain.
+// NewRooms returns an empty view for a member in a failure domain.
 func NewRooms(self, domain string) *Rooms {
-	return &Rooms{self: self, domain: domain, owners: make(map[string]*owner)}
+	return &Rooms{self: self, domain: domain, owners: make(map[string]*ownerState)}
 }
 
-// Update replaces what is known of an owner.
-func (r *Rooms) Update(id, domain string, leaving bool, rooms map[string]*BackendRoom) {
+// Update replaces the capacities that an owner has reported.
+func (r *Rooms) Update(id, domain string, leaving bool, capacities map[string]*BackendRoom) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.owners[id] = &owner{domain: domain, leaving: leaving, rooms: rooms}
+	r.owners[id] = &ownerState{domain: domain, leaving: leaving, capacities: capacities}
 }
 
-// Remove forgets an owner.
+// Remove deletes an owner.
 func (r *Rooms) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,33 +81,34 @@
 }
 
 // Reserve chooses the owner at which a task is expected to start first, and counts the task there until the owner's
-// next report. Owners in exclude are passed over.
+// next report. Owners for which exclude returns true are skipped.
 func (r *Rooms) Reserve(
 	backend string, priority int, expected time.Duration, exclude func(id string) bool,
 ) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	best, room, _ := r.best(backend, priority, exclude)
-	if room == nil {
+	best, capacity, _ := r.best(backend, priority, exclude)
+	if capacity == nil {
 		return "", false
 	}
-	if room.Free > 0 {
-		room.Free--
+	if capacity.Free > 0 {
+		capacity.Free--
 	} else {
-		room.Waiting[min(max(priority, 0), Priorities-1)] += expected
+		capacity.Waiting[min(max(priority, 0), Priorities-1)] += expected
 	}
 	return best, true
 }
 
-// Wait returns the shortest expected wait of a task of that priority.
+// Wait returns the shortest expected wait of a task of that priority. It returns false if no owner has workers of the
+// back end.
 func (r *Rooms) Wait(backend string, priority int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, room, wait := r.best(backend, priority, func(string) bool { return false })
-	return wait, room != nil
+	_, capacity, wait := r.best(backend, priority, func(string) bool { return false })
+	return wait, capacity != nil
 }
 
-// FreeElsewhere reports whether an owner other than id has room.
+// FreeElsewhere reports whether an owner other than id has free capacity.
 func (r *Rooms) FreeElsewhere(backend, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,34 +116,34 @@
 		if other == id || o.leaving {
 			continue
 		}
-		if room := o.rooms[backend]; room != nil && room.Free > 0 {
+		if capacity := o.capacities[backend]; capacity != nil && capacity.Free > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// best returns the owner with the least wait and cost. r.mu is held.
+// best returns the owner with the lowest sum of expected wait and message cost. It expects r.mu to be held.
 func (r *Rooms) best(backend string, priority int, exclude func(id string) bool) (string, *BackendRoom, time.Duration) {
 	var bestID string
-	var bestRoom *BackendRoom
+	var bestCapacity *BackendRoom
 	var bestWait time.Duration
 	bestCost := time.Duration(-1)
 	for id, o := range r.owners {
-		room := o.rooms[backend]
-		if o.leaving || room == nil || room.Slots == 0 || exclude(id) {
+		capacity := o.capacities[backend]
+		if o.leaving || capacity == nil || capacity.Slots == 0 || exclude(id) {
 			continue
 		}
-		wait := room.Wait(priority)
-		cost := wait + r.distance(id, o)
-		if bestCost < 0 || cost < bestCost || (cost == bestCost && preferred(room, bestRoom, id, bestID)) {
-			bestID, bestRoom, bestWait, bestCost = id, room, wait, cost
+		wait := capacity.Wait(priority)
+		cost := wait + r.messageCost(id, o)
+		if bestCost < 0 || cost < bestCost || (cost == bestCost && preferred(capacity, bestCapacity, id, bestID)) {
+			bestID, bestCapacity, bestWait, bestCost = id, capacity, wait, cost
 		}
 	}
-	return bestID, bestRoom, bestWait
+	return bestID, bestCapacity, bestWait
 }
 
-// preferred breaks ties by the share of free room, so that equally near owners fill up evenly.
+// preferred breaks ties by the share of free capacity, so that owners of equal cost fill up evenly.
 func preferred(a, b *BackendRoom, aID, bID string) bool {
 	if d := a.Free*b.Slots - b.Free*a.Slots; d != 0 {
 		return d > 0
@@ -147,13 +151,13 @@
 	return aID < bID
 }
 
-func (r *Rooms) distance(id string, o *owner) time.Duration {
+func (r *Rooms) messageCost(id string, o *ownerState) time.Duration {
 	switch {
 	case id == r.self:
 		return 0
 	case o.domain == r.domain:
-		return neighbourCost
+		return sameDomainCost
 	default:
-		return remoteCost
+		return otherDomainCost
 	}
 }
