--- a/contract/answer.go
+++ b/contract/answer.go
@@ -5,7 +5,7 @@
 // Verdict is the overall result of a job.
 type Verdict uint8
 
-// Verdicts. A refused job was not and will not be executed.
+// Verdicts. A refused job was not executed and will not be.
 const (
 	VerdictPending Verdict = iota
 	VerdictComplete
@@ -22,7 +22,7 @@
 	return "invalid"
 }
 
-// Outcome is what is known of a task's execution.
+// Outcome is the known result of a task's execution.
 type Outcome uint8
 
 // Outcomes of a task.
@@ -51,8 +51,8 @@
 	Worker  string
 }
 
-// Answer is what a caller learns of its job. Results is set only when the verdict is complete and then holds one
-// result per task, so that nobody can take a part for the whole.
+// Answer is the response to the caller of a job. Results is set only if the verdict is complete and then holds one
+// result per task, so that a partial result cannot be mistaken for the whole.
 type Answer struct {
 	Job     JobID
 	Verdict Verdict
@@ -62,7 +62,7 @@
 	Reports []TaskReport
 }
 
-// Consistent reports whether the answer keeps its promise: complete with every result, or without any.
+// Consistent reports whether the answer is either complete with every result or without any.
 func (a Answer) Consistent() bool {
 	if a.Verdict != VerdictComplete {
 		return a.Results == nil
--- a/contract/batch.go
+++ b/contract/batch.go
@@ -7,7 +7,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// RunKey names one run of one task of a batch. Runs of a task are numbered; a higher number is a later run.
+// RunKey identifies one run of one task of a batch. Runs of a task are numbered; a higher number is a later run.
 type RunKey struct {
 	Batch string
 	Step  int
@@ -21,7 +21,7 @@
 	return k
 }
 
-// InStep reports whether two keys name tasks of the same step.
+// InStep reports whether two keys belong to tasks of the same step.
 func (k RunKey) InStep(o RunKey) bool { return k.Batch == o.Batch && k.Step == o.Step }
 
 // String returns the key in the form batch.step.index#run.
@@ -32,7 +32,7 @@
 	return string(strconv.AppendUint(append(b, '#'), k.Run, 10))
 }
 
-// Step is a set of equal tasks of a batch.
+// Step is a set of identical tasks of a batch.
 type Step struct {
 	Count         int
 	Need          machine.Resources
@@ -41,11 +41,12 @@
 	PreferredRack string
 	// PerWorkerLimit is the number of tasks of the step that may run on one worker; zero for any.
 	PerWorkerLimit int
-	// DependsOn lists earlier steps whose tasks are all done before one of this step starts.
+	// DependsOn lists earlier steps whose tasks must all be done before a task of this step starts.
 	DependsOn []int
 }
 
-// Batch is a job whose answer is the reply to its submission: nothing of it outlives its home.
+// Batch is a job whose answer is the reply to its submission: nothing of it is retained when its home (the member
+// that accepted it) stops.
 type Batch struct {
 	ID    string
 	Route string
@@ -54,9 +55,9 @@
 	Spec     []byte
 	Steps    []Step
 	Priority int
-	// Attempts is the number of failed runs of a task after which the batch has failed.
+	// Attempts is the number of failed runs of one task after which the batch fails.
 	Attempts int
-	// TargetFactor times the expected run time plus TargetSlack is the latency target.
+	// The latency target is TargetFactor times the expected run time plus TargetSlack.
 	TargetFactor float64
 	TargetSlack  time.Duration
 	// Accepted is when the submission arrived, Deadline when its caller stops waiting.
@@ -73,14 +74,14 @@
 	return n
 }
 
-// TaskOrder is what the home of a batch sends to the owner of workers: run this task.
+// TaskOrder is the order to run a task that the home of a batch sends to the owner of workers.
 type TaskOrder struct {
 	Key      RunKey
 	Backend  string
 	Spec     []byte
 	Need     machine.Resources
 	Priority int
-	// Accepted is when the job arrived, Target when its answer is late, Deadline when nobody waits for it any more.
+	// Accepted is when the job arrived, Target when its answer becomes late, Deadline when its caller stops waiting.
 	Accepted      time.Time
 	Target        time.Time
 	Deadline      time.Time
@@ -89,14 +90,15 @@
 	PreferredRack string
 	// PerWorkerLimit is the number of tasks of the step that may run on one worker; zero for any.
 	PerWorkerLimit int
-	// Claim says that the run has been started already: an owner that does not know it must not start it.
+	// Claim is set if the home claims a run that has already been started: an owner without a record of the run must not
+	// start it.
 	Claim bool
 }
 
-// RunState is what the owner of a worker knows of a run.
+// RunState is the state of a run as known to the owner of its worker.
 type RunState uint8
 
-// States of runs. Done and those behind it are final.
+// States of runs. RunDone and all later ones are final.
 const (
 	RunQueued RunState = iota
 	RunStarted
@@ -109,8 +111,8 @@
 	RunUnknown
 	// RunInfeasible means that no worker of the owner can hold the task.
 	RunInfeasible
-	// RunLost means that the owner has lost the worker to another VM: the run may go on until its lease lapses, and the
-	// new owner of the worker knows it.
+	// RunLost means that the owner has lost the worker to another VM: the run may continue until its lease expires, and
+	// the new owner of the worker has a record of it.
 	RunLost
 )
 
@@ -123,10 +125,10 @@
 	return "invalid"
 }
 
-// Final reports whether the run does not change any more.
+// Final reports whether the state can no longer change.
 func (s RunState) Final() bool { return s >= RunDone }
 
-// RunReport is what an owner tells the home of a run.
+// RunReport is an owner's report of a run to the home of its batch.
 type RunReport struct {
 	Key    RunKey
 	State  RunState
@@ -139,7 +141,7 @@
 	RunTime time.Duration
 }
 
-// Takeover says that a VM owns a worker from now on, and which runs it found there.
+// Takeover announces that a VM now owns a worker, and which runs it found there.
 type Takeover struct {
 	Worker string
 	Born   int64
--- a/contract/claim.go
+++ b/contract/claim.go
@@ -11,25 +11,26 @@
 	claimShards = 16
 	// KeyValidity is how long after its creation a key may be claimed.
 	KeyValidity = time.Hour
-	// KeySkew is how far a key's creation may lie ahead of the log's clock.
+	// KeySkew is how far a key's creation time may be ahead of the log's clock.
 	KeySkew = time.Minute
-	// ClaimHistory is the age of the oldest record that can matter to a claim made now.
+	// ClaimHistory is the age of the oldest record that can affect a claim made now.
 	ClaimHistory = KeyValidity + KeySkew
-	// ClaimRetention is how long after a key's creation its binding is kept in memory. It covers a key claimed in the
-	// last minute of its validity until the job's answer is dropped. The log must keep claims for longer than that.
+	// ClaimRetention is how long after a key's creation its binding is kept in memory. It covers a key that is claimed
+	// in the last minute of its validity until the job's answer is dropped. The log must keep claims for longer than
+	// that.
 	ClaimRetention = ClaimHistory + AnswerRetention
-	// MaxKeyBytes bounds the customer and text of a key together.
+	// MaxKeyBytes bounds the combined length of the customer and text of a key.
 	MaxKeyBytes = 512
 )
 
-// Claim binds a caller's key to a minted job id if no earlier claim has bound it.
+// Claim is the claim of an idempotency key: it binds the key to a minted job id if no earlier claim has bound it.
 type Claim struct {
 	Key CallerKey
 	Job JobID
 }
 
-// ClaimBatch is one record of the stream of claims. ID names the batch, so that its author recognises it after a lost
-// reply.
+// ClaimBatch is one record of the stream of claims. ID identifies the batch, so that its author recognises it after a
+// lost reply.
 type ClaimBatch struct {
 	ID     string
 	Claims []Claim
@@ -38,43 +39,43 @@
 // ClaimResult is the decision on a claim.
 type ClaimResult uint8
 
-// Results of a claim. All but ClaimUndecided are final and the same at each reader.
+// Results of a claim. All but ClaimUndecided are final and the same at every reader.
 const (
-	// ClaimBound says that the key is bound, by this claim or an earlier one.
+	// ClaimBound means that the key is bound, by this claim or an earlier one.
 	ClaimBound ClaimResult = iota
 	ClaimTooOld
 	ClaimTooNew
-	// ClaimUndecided says that this reader misses records which may hold an earlier claim of the key.
+	// ClaimUndecided means that this reader lacks records which may hold an earlier claim of the key.
 	ClaimUndecided
 )
 
-// ClaimDecision is the decision on one claim; Winner is the id that holds the key if it is bound.
+// ClaimDecision is the decision on one claim; Winner is the job id that the key is bound to, if it is bound.
 type ClaimDecision struct {
 	Claim  Claim
 	Result ClaimResult
 	Winner JobID
 }
 
-// claimDigest identifies a key in 16 bytes, so that the memory for a key does not depend on the length of its text.
+// claimDigest identifies a key by 16 bytes, so that the memory for a key does not depend on the length of its text.
 type claimDigest [16]byte
 
-// binding takes 32 bytes, with its digest 48; a map needs up to twice that and some, about 100 bytes for each key. All
+// binding takes 32 bytes, 48 with its digest; a map needs somewhat more than twice that, about 100 bytes per key. All
 // readers hold the keys of all failure domains for ClaimRetention: 160 keys a second amount to 64 MB.
 type binding struct {
 	job     JobID
 	created int64
 }
 
-// ClaimTable holds the bindings that one reader of the stream of claims has seen. mu guards the position and puts
-// applications in order; each shard of bindings has its own lock.
+// ClaimTable holds the bindings that one reader of the stream of claims has seen. mu guards the position and
+// serialises Apply; each shard of bindings has its own lock.
 type ClaimTable struct {
 	shards [claimShards]claimShard
 
 	mu   sync.Mutex
 	next uint64
 	gap  bool
-	// since is the time up to which records may be missing.
-	since time.Time
+	// missingUntil is the time up to which records may be missing.
+	missingUntil time.Time
 }
 
 type claimShard struct {
@@ -98,15 +99,15 @@
 	return t.next
 }
 
-// SkipTo moves ahead over records that are too old to matter.
+// SkipTo advances past records that are too old to affect a claim.
 func (t *ClaimTable) SkipTo(offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next = max(t.next, offset)
 }
 
-// Truncated tells the table the oldest offset that the log keeps. If records are missing, keys that they may have
-// bound stay undecided.
+// Truncated sets the oldest offset that the log keeps. If records are missing, keys that they may have bound stay
+// undecided.
 func (t *ClaimTable) Truncated(first uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,7 +118,7 @@
 }
 
 // Apply decides the claims of the record at an offset, in offset order; at is the record's time by the log's clock.
-// Records that were applied before are ignored.
+// Records that were already applied are ignored.
 func (t *ClaimTable) Apply(offset uint64, at time.Time, b ClaimBatch) []ClaimDecision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +126,7 @@
 		return nil
 	}
 	if offset > t.next || t.gap {
-		t.since = at
+		t.missingUntil = at
 		t.gap = false
 	}
 	t.next = offset + 1
@@ -161,10 +162,10 @@
 // complete reports whether no missing record can have bound the key. It expects t.mu to be held.
 func (t *ClaimTable) complete(k CallerKey) bool {
 	earliest := time.UnixMilli(k.CreatedUnixMS).Add(-KeySkew)
-	return !t.gap && (t.since.IsZero() || earliest.After(t.since))
+	return !t.gap && (t.missingUntil.IsZero() || earliest.After(t.missingUntil))
 }
 
-// Lookup returns the id that holds a key. complete is false if records that may have bound it are missing.
+// Lookup returns the job id that a key is bound to. complete is false if records that may have bound it are missing.
 func (t *ClaimTable) Lookup(k CallerKey) (id JobID, bound, complete bool) {
 	t.mu.Lock()
 	complete = t.complete(k)
@@ -177,7 +178,7 @@
 	return b.job, bound, complete
 }
 
-// Expire drops the bindings of keys that can neither be claimed again nor have an answer, and returns their number.
+// Expire drops the bindings of keys that can no longer be claimed or have an answer, and returns their number.
 func (t *ClaimTable) Expire(now time.Time) int {
 	oldest := now.Add(-ClaimRetention).UnixMilli()
 	n := 0
@@ -195,7 +196,7 @@
 	return n
 }
 
-// digestOf hashes the parts of a key with their lengths, so that no two keys share an input.
+// digestOf hashes the parts of a key with the length of the customer, so that no two keys have the same input.
 func digestOf(k CallerKey) claimDigest {
 	buf := make([]byte, 0, 16+len(k.Customer)+len(k.Text))
 	buf = binary.BigEndian.AppendUint64(buf, uint64(len(k.Customer)))
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -13,7 +13,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// The seed is fixed, so that every run returns the same verdict; -rapid.seed explores others.
+// The seed is fixed, so that every run has the same result; -rapid.seed selects another one.
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
 type claimRecord struct {
@@ -41,8 +41,8 @@
 	return log
 }
 
-// readClaims reads a log in pages of random sizes, repeating and losing pages, from a random first record on, and
-// returns the final decisions on each claim.
+// readClaims reads a log from a random first record on, in pages of random sizes, some repeated and some lost, and
+// returns the last decision on each claim.
 func readClaims(t *rapid.T, log []claimRecord) map[string]ClaimDecision {
 	out := make(map[string]ClaimDecision)
 	table := NewClaimTable()
@@ -67,8 +67,8 @@
 	return out
 }
 
-// Guards against two ids for one key: whatever readers miss or read again, all final decisions agree, and a reader
-// without gaps decides every claim.
+// Guards against two job ids for one key: whatever records readers miss or read again, all final decisions agree, and
+// a reader without gaps decides every claim.
 func TestClaimReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawClaimLog(t)
@@ -93,8 +93,8 @@
 			for at, d := range readClaims(t, log) {
 				switch d.Result {
 				case ClaimBound:
-					// A reader that skipped records may still hold a binding that others have dropped by age; their
-					// answer is then that the key is too old, and no other id can ever hold it.
+					// A reader that skipped records may still hold a binding that others have dropped by age; their decision is then
+					// that the key is too old, and no other id can ever be bound to it.
 					require.Equal(t, winners[d.Claim.Key], d.Winner)
 					require.Contains(t, []ClaimResult{ClaimBound, ClaimTooOld}, want[at].Result)
 				case ClaimTooNew:
@@ -105,7 +105,7 @@
 	})
 }
 
-// Guards against running a refused id: neither a later submission nor an expired mark may let it run.
+// Guards against running a refused id: it must not run when it is submitted again, nor after its answer has expired.
 func TestRefusedIDNeverRuns(t *testing.T) {
 	table := NewJobTable(1, 7)
 	id := table.Mint(1)[0]
@@ -122,13 +122,13 @@
 	require.Error(t, err)
 }
 
-// Guards against a false "not run": an accepted job cannot be refused any more.
+// Guards against a false "not run": an accepted job can no longer be refused.
 func TestAcceptedJobIsNotRefused(t *testing.T) {
 	table, id := acceptedJob(t, 1)
 	require.False(t, table.Refuse(id, "log unreachable", "", time.Now()))
 }
 
-// BenchmarkClaimTableMemory reports the memory for each bound key.
+// BenchmarkClaimTableMemory reports the memory per bound key.
 func BenchmarkClaimTableMemory(b *testing.B) {
 	const n = 300_000
 	var before, after runtime.MemStats
--- a/contract/configstate.go
+++ b/contract/configstate.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// recentOrigins bounds the authors that are remembered to tell the losers of a race.
+	// recentOrigins bounds the changes that are remembered to name the winner of conflicting changes.
 	recentOrigins = 32
-	// maxHeldRecords bounds the records kept after a gap until a snapshot arrives.
+	// maxHeldRecords bounds the records held after a gap until a snapshot arrives.
 	maxHeldRecords = 4096
-	// snapshotEvery and snapshotAge say after how many records and how long a snapshot is due; the age is a quarter
-	// of the shortest retention for which the log is set up, 24 h.
+	// snapshotEvery and snapshotAge are the number of records and the time after which a snapshot is due; the age is a
+	// quarter of the shortest retention for which the log is set up, 24 h.
 	snapshotEvery = 256
 	snapshotAge   = 6 * time.Hour
-	// snapshotMargin is the distance to the oldest record kept at which a snapshot is due at once.
+	// snapshotMargin is the distance from the oldest kept record at which a snapshot is due immediately.
 	snapshotMargin = 64
 )
 
-// ConfigState applies the records of the stream "config" in offset order. Every reader that has applied the same
-// records holds the same revision. mu guards all fields but check, which is a pure function of a document.
+// ConfigState applies the records of the stream "config" in offset order. All readers that have applied the same
+// records hold the same revision. mu guards all fields but check, which is a pure function of a document.
 type ConfigState struct {
 	check func(ConfigDocument) []string
 
@@ -37,7 +37,8 @@
 	gapFirst uint64
 	held     []heldRecord
 
-	// Offset from which on the log must keep records, and when the snapshot that set it was written.
+	// needed is the offset from which on the log must keep records; neededTime is when the snapshot that set it was
+	// written.
 	needed     uint64
 	neededTime time.Time
 }
@@ -48,13 +49,13 @@
 	record ConfigRecord
 }
 
-// NewConfigState returns a state that knows no configuration. check returns the faults of a document; a change that
-// leads to a faulty one is rejected.
+// NewConfigState returns a state without a configuration. check returns the faults of a document; a change that leads
+// to a faulty document is rejected.
 func NewConfigState(check func(ConfigDocument) []string) *ConfigState {
 	return &ConfigState{check: check}
 }
 
-// ConfigView is the configuration at one moment.
+// ConfigView is the configuration at one point in time.
 type ConfigView struct {
 	Known    bool
 	Next     uint64
@@ -89,8 +90,8 @@
 	return s.next
 }
 
-// Bounds tells the state the oldest offset that the log keeps. Only a log that still holds its first record shows
-// that nothing is missing; an expired log shows nothing of the past but a snapshot that covers the missing records.
+// Bounds sets the oldest offset that the log keeps. Only a log that still holds its first record proves that nothing
+// is missing; of a truncated log only a snapshot that covers the missing records shows the earlier state.
 func (s *ConfigState) Bounds(first uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +103,8 @@
 	}
 }
 
-// Apply applies the record at an offset. Records that were applied before are ignored, as are records beyond the next
-// one. It returns the decisions on changes, several when a snapshot has closed a gap.
+// Apply applies the record at an offset. Records that were already applied are ignored, as are records beyond the
+// next one. It returns the decisions on changes, several when a snapshot has closed a gap.
 func (s *ConfigState) Apply(offset uint64, at time.Time, r ConfigRecord) []ConfigVerdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	return s.apply(heldRecord{offset: offset, at: at, record: r})
 }
 
-// hold expects s.mu to be held.
+// hold keeps a record until a snapshot closes the gap. It expects s.mu to be held.
 func (s *ConfigState) hold(h heldRecord) []ConfigVerdict {
 	if h.offset != s.position() || len(s.held) >= maxHeldRecords {
 		return nil
@@ -127,11 +128,11 @@
 		return nil
 	}
 	s.adopt(*snap)
-	return s.release()
+	return s.applyHeld()
 }
 
-// release applies the held records that follow the adopted state. It expects s.mu to be held.
-func (s *ConfigState) release() []ConfigVerdict {
+// applyHeld applies the held records that follow the adopted state. It expects s.mu to be held.
+func (s *ConfigState) applyHeld() []ConfigVerdict {
 	if s.next < s.gapFirst {
 		return nil
 	}
@@ -153,8 +154,8 @@
 	s.recent = append([]ConfigOrigin(nil), snap.Recent...)
 }
 
-// Adopt takes over the state of a peer if it is ahead of this one. The state at an offset is the same at every
-// reader, so that a peer's is as good as the log; a stale peer's is ignored.
+// Adopt replaces the state by that of a peer if the peer is ahead. The state at an offset is the same at every
+// reader, so a peer's state is as reliable as the log; the state of a peer that is behind is ignored.
 func (s *ConfigState) Adopt(snap ConfigSnapshot) ([]ConfigVerdict, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +166,7 @@
 	if !s.gap {
 		return nil, true
 	}
-	return s.release(), true
+	return s.applyHeld(), true
 }
 
 // apply expects s.mu to be held and the record to be the next one.
@@ -195,7 +196,7 @@
 	}
 	if c.Base != s.revision {
 		v.Reason = fmt.Sprintf("base revision %d is not the present revision %d", c.Base, s.revision)
-		v.Winner = s.winner(c.Base + 1)
+		v.Winner = s.originOf(c.Base + 1)
 		return v
 	}
 	document := s.document.Patched(c.Patch)
@@ -213,8 +214,9 @@
 	return v
 }
 
-// winner expects s.mu to be held.
-func (s *ConfigState) winner(revision uint64) ConfigOrigin {
+// originOf returns the change that made a revision, or the last one if that revision is no longer remembered. It
+// expects s.mu to be held.
+func (s *ConfigState) originOf(revision uint64) ConfigOrigin {
 	for _, o := range s.recent {
 		if o.Revision == revision {
 			return o
@@ -235,7 +237,7 @@
 	}, s.known
 }
 
-// SnapshotDue reports whether a snapshot has to be published, given the oldest offset that the log keeps.
+// SnapshotDue reports whether a snapshot has to be published; first is the oldest offset that the log keeps.
 func (s *ConfigState) SnapshotDue(first uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/contract/configstate_test.go
+++ b/contract/configstate_test.go
@@ -17,7 +17,8 @@
 	}}}
 }
 
-// Guards against two winners of a race between operators, and against a loser that is not told who won.
+// Guards against accepting two conflicting changes of operators, and against a rejection that does not name the
+// accepted change.
 func TestStaleBaseIsRejected(t *testing.T) {
 	s := NewConfigState(acceptAll)
 	s.Bounds(0)
@@ -27,12 +28,12 @@
 	require.False(t, v.Accepted)
 	require.Equal(t, ConfigOrigin{Revision: 1, ID: "first", Author: "a-first"}, v.Winner)
 	require.Equal(t, 1.0, s.View().Document.Customers["c"].Weight)
-	require.Empty(t, s.Apply(0, now, customerChange("again", 1, "c", 3)), "an applied offset is never applied again")
+	require.Empty(t, s.Apply(0, now, customerChange("again", 1, "c", 3)), "an applied offset must not be applied again")
 }
 
-// Guards against a fresh start that takes an old revision from an expired log: neither an emptied stream nor a
-// snapshot that is older than the dropped records is enough.
-func TestExpiredLogShowsNoRevision(t *testing.T) {
+// Guards against a new process that adopts an old revision from a truncated log: neither an emptied stream nor a
+// snapshot that is older than the dropped records suffices.
+func TestTruncatedLogShowsNoRevision(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewConfigState(acceptAll)
 	s.Bounds(57)
@@ -43,11 +44,11 @@
 	s.Apply(59, now, ConfigRecord{Snapshot: &ConfigSnapshot{Next: 58, Revision: 5}})
 	v := s.View()
 	require.True(t, v.Known)
-	require.Equal(t, uint64(6), v.Revision, "the record between the state of the snapshot and its offset counts")
+	require.Equal(t, uint64(6), v.Revision, "the record after the snapshot's state and before its offset is applied")
 	require.Equal(t, uint64(60), v.Next)
 }
 
-// Guards against a stale peer that takes a restarted VM back.
+// Guards against a restarted VM that goes back to the older state of a stale peer.
 func TestStalePeerIsIgnored(t *testing.T) {
 	s := NewConfigState(acceptAll)
 	_, ok := s.Adopt(ConfigSnapshot{Next: 10, Revision: 4})
@@ -57,7 +58,7 @@
 	require.Equal(t, uint64(4), s.View().Revision)
 }
 
-// configHistory is a log with the state of a reader that has missed nothing, by offset.
+// configHistory is a log, with the state at each offset of a reader that has missed nothing.
 type configHistory struct {
 	records []ConfigRecord
 	states  []ConfigSnapshot
@@ -93,8 +94,8 @@
 	return h
 }
 
-// Guards against readers that disagree or go back, whatever they miss: pages lost and repeated, a truncated log,
-// restarts, states of stale and fresh peers.
+// Guards against readers that disagree or go back to an older revision, whatever they miss: pages lost and repeated,
+// a truncated log, restarts, states of stale and current peers.
 func TestConfigReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawConfigHistory(t)
--- a/contract/configuration.go
+++ b/contract/configuration.go
@@ -2,12 +2,13 @@
 
 import "maps"
 
-// ServiceConfig is a schema file; its name is the key.
+// ServiceConfig is the schema file of a service; the name of the service is the key.
 type ServiceConfig struct {
 	Schema string `json:"schema"`
 }
 
-// KindConfig overrides the declaration of a request kind, whose name is service/kind. Zero values leave it.
+// KindConfig overrides the declaration of a request kind; its key is service/kind. Zero values keep the declared
+// ones.
 type KindConfig struct {
 	DeadlineMS int64  `json:"deadline_ms,omitempty"`
 	ExpectedMS int64  `json:"expected_ms,omitempty"`
@@ -15,12 +16,12 @@
 	Weight     int    `json:"weight,omitempty"`
 }
 
-// CustomerConfig is a customer's part in fair sharing.
+// CustomerConfig is a customer's weight in fair sharing.
 type CustomerConfig struct {
 	Weight float64 `json:"weight"`
 }
 
-// TeamConfig is a team's part of its customer and its quotas; 0 means no quota. Its name is customer/team.
+// TeamConfig is a team's weight within its customer and its quotas; 0 means no quota. Its key is customer/team.
 type TeamConfig struct {
 	Weight          float64 `json:"weight,omitempty"`
 	Slots           int     `json:"slots,omitempty"`
@@ -36,7 +37,7 @@
 	Connections int `json:"connections,omitempty"`
 }
 
-// ConfigDocument is a whole configuration. Documents are not changed once built.
+// ConfigDocument is a whole configuration. Documents are immutable once built.
 type ConfigDocument struct {
 	Services      map[string]ServiceConfig     `json:"services,omitempty"`
 	Kinds         map[string]KindConfig        `json:"kinds,omitempty"`
@@ -65,8 +66,8 @@
 	}
 }
 
-// withQuotaRevisions returns the document with the quota revision of each team, given the document before and the
-// revision that the change makes.
+// withQuotaRevisions returns the document with the quota revision of each team set, given the previous document and
+// the revision that the change makes.
 func (d ConfigDocument) withQuotaRevisions(before ConfigDocument, revision uint64) ConfigDocument {
 	teams := maps.Clone(d.Teams)
 	for name, t := range teams {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// ConfigChange is an operator's change of the revision Base.
+// ConfigChange is an operator's change to the revision Base.
 type ConfigChange struct {
 	ID     string      `json:"id"`
 	Author string      `json:"author"`
@@ -107,14 +108,14 @@
 	Patch  ConfigPatch `json:"patch"`
 }
 
-// ConfigOrigin names the change that made a revision.
+// ConfigOrigin identifies the change that made a revision.
 type ConfigOrigin struct {
 	Revision uint64 `json:"revision"`
 	ID       string `json:"id"`
 	Author   string `json:"author"`
 }
 
-// ConfigSnapshot is the state after all records below the offset Next.
+// ConfigSnapshot is the state after all records before the offset Next.
 type ConfigSnapshot struct {
 	Next     uint64         `json:"next"`
 	Revision uint64         `json:"revision"`
@@ -128,8 +129,8 @@
 	Snapshot *ConfigSnapshot `json:"snapshot,omitempty"`
 }
 
-// ConfigVerdict is the decision on a change. Reason is empty if it was accepted; a change with a stale base is told
-// who made the next revision after its base, or the present one if that is long ago.
+// ConfigVerdict is the decision on a change. Reason is empty if it was accepted. For a stale base, Winner is the
+// change that made the revision after the base, or the current revision if that one is no longer remembered.
 type ConfigVerdict struct {
 	Offset   uint64
 	ID       string
--- a/contract/desired.go
+++ b/contract/desired.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Desired is the operator's desired state: which routes exist, and which back ends serve them.
+// Desired is the operator's desired state: the routes, and the back ends that serve them.
 type Desired struct {
 	Version  uint64
 	Routes   []Route
 	Backends map[string]BackendPolicy
 	Limits   RequestLimits
-	// Document is the encoding in which the state was published, for passing it on.
+	// Document is the encoded form in which the state was published, for forwarding.
 	Document []byte
 }
 
@@ -23,19 +23,19 @@
 	Timeout      time.Duration
 	TargetFactor float64
 	TargetSlack  time.Duration
-	// NeedsAdvice says that an outside service decides which workers may run the tasks.
+	// NeedsAdvice means that an external service decides which workers may run the tasks.
 	NeedsAdvice bool
 }
 
-// BackendPolicy says how the workers of a back end behave.
+// BackendPolicy describes the behaviour of the workers of a back end.
 type BackendPolicy struct {
 	Name string
-	// GuardsCapacity means that the workers reject what does not fit.
+	// GuardsCapacity means that the workers reject tasks that exceed their capacity.
 	GuardsCapacity bool
 	MaxConnections int
 }
 
-// RequestLimits bound what callers may send.
+// RequestLimits bounds what callers may send.
 type RequestLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -43,7 +43,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Match returns the route with the longest prefix of path at host.
+// Match returns the route of the host with the longest matching path prefix.
 func (d *Desired) Match(host, path string) (Route, bool) {
 	best := -1
 	for i := range d.Routes {
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract models what one party has promised another: jobs and their tasks, answers, slot grants, keys,
-// quota shares and configuration revisions.
+// Package contract models the obligations between the parties: jobs and their tasks, answers, slot grants,
+// idempotency keys, quota shares and configuration revisions.
 package contract
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -32,13 +32,13 @@
 	// complete true order-17
 }
 
-// The first claim of a key by its offset on the log binds it.
+// A key is bound by the claim with the lowest offset in the log.
 func ExampleClaimTable() {
 	at := time.UnixMilli(1000)
 	key := contract.CallerKey{Customer: "wakala", Text: "order-17", CreatedUnixMS: 1000}
 	table := contract.NewClaimTable()
-	for offset, home := range []contract.JobID{{Domain: 1, Home: 7, Seq: 1}, {Domain: 2, Home: 9, Seq: 1}} {
-		batch := contract.ClaimBatch{ID: fmt.Sprint(offset), Claims: []contract.Claim{{Key: key, Job: home}}}
+	for offset, job := range []contract.JobID{{Domain: 1, Home: 7, Seq: 1}, {Domain: 2, Home: 9, Seq: 1}} {
+		batch := contract.ClaimBatch{ID: fmt.Sprint(offset), Claims: []contract.Claim{{Key: key, Job: job}}}
 		for _, d := range table.Apply(uint64(offset), at, batch) {
 			fmt.Println(d.Claim.Job, "is answered by", d.Winner)
 		}
--- a/contract/failwaiting.go
+++ b/contract/failwaiting.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// FailWaiting finishes the waiting tasks of a job that cannot complete any more as not run, and returns how many there
-// were and the answer if the job has ended by it.
+// FailWaiting finishes the waiting tasks of a job that can no longer complete as not run. It returns how many there
+// were and, if the job has ended, its answer.
 func (t *JobTable) FailWaiting(id JobID, detail string, now time.Time) (int, Answer, bool) {
 	s := t.shard(id)
 	s.mu.Lock()
--- a/contract/grant.go
+++ b/contract/grant.go
@@ -6,17 +6,17 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Slot is the right to run one task at a time on a worker, granted by the worker's granter for a limited time.
+// Slot is the right to run one task at a time on a worker, leased by the worker's slot allocator for a limited time.
 type Slot struct {
 	Worker machine.WorkerID
-	// Epoch is the granter's incarnation.
+	// Epoch is the allocator's incarnation.
 	Epoch uint64
 	Long  bool
 	// Expires is the end of the grant on the holder's clock. Renewals extend it.
 	Expires time.Time
-	// IdleSince is the time at which the slot became idle in the holdings.
+	// IdleSince is the time at which the slot became idle.
 	IdleSince time.Time
-	// Used is set by the first start; a slot returned without one is a wasted message.
+	// Used is set by the first start; the grant of a slot that is returned unused was a wasted message.
 	Used bool
 }
 
@@ -30,7 +30,7 @@
 	TTL     time.Duration
 }
 
-// SlotReturn gives slots of one worker back to its granter.
+// SlotReturn returns slots of one worker to its allocator.
 type SlotReturn struct {
 	Service string
 	Worker  machine.WorkerID
@@ -38,11 +38,11 @@
 	Long    int
 	// Unused counts slots on which no task was started.
 	Unused int
-	// Rejected says that the worker had no free slot, so that the grant exceeded its slots.
+	// Rejected means that the worker had no free slot: more slots were granted than it has.
 	Rejected bool
 }
 
-// SlotDemand replaces the demand that a lane stated before. Version orders the demands of a lane.
+// SlotDemand replaces the previous demand of a service scheduler. Version orders the demands of a scheduler.
 type SlotDemand struct {
 	Service   string
 	Version   uint64
@@ -52,15 +52,15 @@
 	LongWait  time.Duration
 }
 
-// HeldSlots is what this VM holds of one worker.
+// HeldSlots is the number of slots that this VM holds of one worker.
 type HeldSlots struct {
 	Worker machine.WorkerID
 	Short  int
 	Long   int
 }
 
-// Holdings are the slots that this VM holds for one service. Idle slots are kept by class and by the speed of their
-// worker, so that the choice does not depend on the number of workers. The caller's lock guards them.
+// Holdings are the slots that this VM holds for one service. Idle slots are indexed by class and by the speed of
+// their worker, so that the cost of a choice does not depend on the number of workers. The caller's lock guards them.
 type Holdings struct {
 	idle    [2]slotBuckets
 	workers map[machine.WorkerID]*heldWorker
@@ -71,11 +71,11 @@
 type heldWorker struct {
 	HeldSlots
 	speed float64
-	// renewed is the end of the last renewal.
+	// renewed is the expiry set by the last renewal.
 	renewed time.Time
 }
 
-// Add puts a granted slot into the holdings.
+// Add adds a granted slot to the holdings.
 func (h *Holdings) Add(s Slot, speed float64) {
 	if h.workers == nil {
 		h.workers = make(map[machine.WorkerID]*heldWorker)
@@ -120,7 +120,8 @@
 // Busy returns the number of slots in use.
 func (h *Holdings) Busy() int { return h.sum - h.idleSum }
 
-// TakeShort takes the idle slot on the fastest worker into use. At equal speed it leaves the slots for long work.
+// TakeShort takes the idle slot on the fastest worker into use. At equal speed it prefers short slots and leaves
+// those for long work.
 func (h *Holdings) TakeShort() (Slot, bool) {
 	b := &h.idle[0]
 	if h.idle[1].fastest() > b.fastest() {
@@ -145,7 +146,7 @@
 	return s, true
 }
 
-// Release makes a slot idle again after its task.
+// Release makes a slot idle again when its task has ended.
 func (h *Holdings) Release(s Slot, speed float64, now time.Time) {
 	w, ok := h.workers[s.Worker]
 	if !ok {
@@ -156,7 +157,7 @@
 	h.makeIdle(s, w)
 }
 
-// Expires returns the end of a slot's grant.
+// Expires returns the expiry of a slot's grant.
 func (h *Holdings) Expires(s Slot) time.Time {
 	if w, ok := h.workers[s.Worker]; ok && w.renewed.After(s.Expires) {
 		return w.renewed
@@ -164,7 +165,7 @@
 	return s.Expires
 }
 
-// Drop removes a slot that is in use or was removed from the idle ones.
+// Drop removes a slot that is in use or was already removed from the idle ones.
 func (h *Holdings) Drop(s Slot) {
 	w, ok := h.workers[s.Worker]
 	if !ok {
@@ -199,7 +200,7 @@
 	}
 }
 
-// Held returns what is held of each worker.
+// Held returns the slots held of each worker.
 func (h *Holdings) Held() []HeldSlots {
 	held := make([]HeldSlots, 0, len(h.workers))
 	for _, w := range h.workers {
@@ -208,7 +209,7 @@
 	return held
 }
 
-// Consistent reports whether the counts by worker match the sums.
+// Consistent reports whether the counts per worker match the sums.
 func (h *Holdings) Consistent() bool {
 	sum := 0
 	for _, w := range h.workers {
--- a/contract/handover.go
+++ b/contract/handover.go
@@ -8,38 +8,38 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// maxAdoptedHomes bounds the records of adopted homes. They are kept for the life of the process, since without the
-// record a part of a hand-over that is delivered very late would run its jobs again; a VM sees a few closures a day.
+// maxAdoptedHomes bounds the records of adopted homes. They are kept until the process ends, because without the
+// record a hand-over part that is delivered very late would run its jobs again; a VM adopts a few homes per day.
 const maxAdoptedHomes = 4096
 
-// AdoptedHome is what a successor knows of a home that has handed its jobs over.
+// AdoptedHome is a successor's record of a home that has handed over its jobs.
 type AdoptedHome struct {
 	Home machine.Incarnation
 	// Minted is the first sequence number that the home did not mint.
 	Minted uint64
-	// Expired holds the expired mark of each shard of the home.
+	// Expired holds the highest expired sequence number of each shard of the home.
 	Expired []uint64
-	// Complete is set by the last part of the hand-over. Only then is an id that is not in the table proven never to
-	// have been accepted.
+	// Complete is set by the last part of the hand-over. Only then does a missing id prove that the job was never
+	// accepted.
 	Complete bool
 }
 
-// adoptedHomes holds the homes that a table answers for beside its own. Its mutex guards all fields and is taken
-// after the lock of a shard.
+// adoptedHomes holds the homes that a table answers for in addition to its own. Its mutex guards all fields and is
+// locked after the lock of a shard.
 type adoptedHomes struct {
 	mu    sync.Mutex
 	homes map[machine.Incarnation]AdoptedHome
 }
 
-func (a *adoptedHomes) missing(id JobID) error {
+func (a *adoptedHomes) missingError(id JobID) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h, ok := a.homes[id.Home]
 	switch {
 	case !ok:
-		return fault.With(fault.UnknownJob, "unknown id", "the home of job %s is not known here", id)
+		return fault.With(fault.UnknownJob, "unknown id", "the home of job %s is unknown to this entry VM", id)
 	case !h.Complete:
-		return fault.With(fault.Lost, "hand-over incomplete", "the home of job %s ended before it had handed over everything", id)
+		return fault.With(fault.Lost, "hand-over incomplete", "the home of job %s stopped during its hand-over", id)
 	case id.Seq < h.Minted:
 		return fault.With(fault.NeverAccepted, fault.ReasonHomeClosed, "job %s was never accepted by its home, which has stopped", id)
 	default:
@@ -47,7 +47,7 @@
 	}
 }
 
-// Adopt records that this table answers for the jobs of another home. A completed record stays complete. It returns
+// Adopt records that this table answers for the jobs of another home. A complete record stays complete. It returns
 // false when too many homes have been adopted.
 func (t *JobTable) Adopt(h AdoptedHome) bool {
 	t.mergeExpired(h)
@@ -62,7 +62,7 @@
 	return true
 }
 
-// mergeExpired takes over the expired marks of a home. No lock is held.
+// mergeExpired merges the expired sequence numbers of a home into the shards. It expects no lock to be held.
 func (t *JobTable) mergeExpired(h AdoptedHome) {
 	for i := range t.shards {
 		if i >= len(h.Expired) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// receiving reports whether the hand-over of a home has begun and not ended.
+// receiving reports whether the hand-over of a home has begun and is not complete.
 func (a *adoptedHomes) receiving(home machine.Incarnation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -92,7 +92,7 @@
 }
 
 // AdoptJob registers a job that was handed over and never started. It returns false for an id that is known or
-// expired, or once the hand-over of its home is complete: the part was repeated and nothing of it must be queued.
+// expired, or once the hand-over of its home is complete: the part was repeated and none of its jobs may be queued.
 func (t *JobTable) AdoptJob(spec JobSpec, now time.Time) bool {
 	if !t.adopted.receiving(spec.ID.Home) {
 		return false
@@ -107,9 +107,9 @@
 	return true
 }
 
-// AdoptAnswer registers the final answer of a job that was handed over, keeping the first one.
+// AdoptAnswer registers the final answer of a job that was handed over; an existing answer is kept.
 func (t *JobTable) AdoptAnswer(a Answer, now time.Time) bool {
-	t.check(InvariantAnswerWhole, a.Consistent())
+	t.check(InvariantAnswerComplete, a.Consistent())
 	if !a.Consistent() || a.Verdict == VerdictPending {
 		return false
 	}
@@ -119,12 +119,12 @@
 	if _, ok := s.jobs[a.Job]; ok || a.Job.Seq <= s.expired[a.Job.Home] {
 		return false
 	}
-	s.addEnded(a, now)
+	s.addFinished(a, now)
 	return true
 }
 
-// Close stops minting and accepting, and returns the first sequence number that was never minted. When it returns,
-// no job is accepted any more, so that Detach sees all of them.
+// Close stops minting and accepting, and returns the first sequence number that was never minted. After it returns,
+// no job is accepted, so Detach sees all jobs.
 func (t *JobTable) Close() uint64 {
 	next := t.CloseMint()
 	for i := range t.shards {
@@ -136,8 +136,8 @@
 	return next
 }
 
-// Detach takes the jobs that never started out of this table's hands: each is returned once and can never start here
-// again, whether or not a successor confirms it.
+// Detach removes the jobs that never started from this table's responsibility and returns each of them once. They can
+// never start here again, whether or not a successor confirms them.
 func (t *JobTable) Detach() []JobSpec {
 	var specs []JobSpec
 	for i := range t.shards {
@@ -160,7 +160,7 @@
 	return specs
 }
 
-// Restore takes detached jobs back. The caller has a proof that no successor has or will run them.
+// Restore takes detached jobs back. The caller must have proof that no successor has run or will run them.
 func (t *JobTable) Restore(specs []JobSpec, now time.Time) {
 	for _, spec := range specs {
 		s := t.shard(spec.ID)
@@ -172,19 +172,19 @@
 	}
 }
 
-// Abandon ends detached jobs whose successor is gone without having confirmed them: whether they ran is not known.
+// Abandon ends detached jobs whose successor is gone without having confirmed them; whether they ran is unknown.
 func (t *JobTable) Abandon(specs []JobSpec, detail string, now time.Time) {
 	for _, spec := range specs {
 		s := t.shard(spec.ID)
 		s.mu.Lock()
 		if j, ok := s.jobs[spec.ID]; ok && j.state == JobHandedOver {
-			s.addEnded(UnknownAnswer(spec.ID, len(spec.Tasks), "successor gone", detail), now)
+			s.addFinished(UnknownAnswer(spec.ID, len(spec.Tasks), "successor gone", detail), now)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// UnknownAnswer is the answer to a job whose home is gone. The number of tasks is only known from a submission.
+// UnknownAnswer returns the answer to a job whose home is gone. The number of tasks is known only from a submission.
 func UnknownAnswer(id JobID, tasks int, reason, detail string) Answer {
 	a := Answer{Job: id, Verdict: VerdictFailed, Reason: reason, Detail: detail}
 	for range tasks {
@@ -193,7 +193,7 @@
 	return a
 }
 
-// Answers calls visit with all final answers, a shard at a time and without holding its lock.
+// Answers calls visit with all final answers, one shard at a time and without holding its lock.
 func (t *JobTable) Answers(visit func([]Answer)) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -207,7 +207,7 @@
 	}
 }
 
-// Homes returns the records with which a successor answers for this table's own home and the adopted ones.
+// Homes returns the records that a successor needs to answer for this table's own home and the adopted ones.
 func (t *JobTable) Homes() []AdoptedHome {
 	t.adopted.mu.Lock()
 	homes := []AdoptedHome{{Home: t.home, Complete: true}}
--- a/contract/handover_test.go
+++ b/contract/handover_test.go
@@ -9,8 +9,8 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// Guards against running a job at two homes: after Detach the old home never starts it, with or without a reply, and a
-// repeated part does not queue it again at the successor.
+// Guards against running a job at two homes: after Detach the old home never starts it, with or without a reply, and
+// a repeated part does not queue it again at the successor.
 func TestDetachedJobStartsOnlyAtSuccessor(t *testing.T) {
 	home, id := acceptedJob(t, 1)
 	successor := NewJobTable(1, 8)
@@ -31,8 +31,8 @@
 	require.True(t, ok)
 }
 
-// Guards against the false claim "not run" for an id of a home whose hand-over did not complete, and for one whose
-// answer the home had already dropped.
+// Guards against a false "not run" for an id of a home whose hand-over did not complete, and for one whose answer the
+// home had already dropped.
 func TestSuccessorProvesOnlyWhatWasHandedOver(t *testing.T) {
 	home := NewJobTable(1, 7)
 	ids := home.Mint(17)
@@ -56,7 +56,7 @@
 	successor.Adopt(record)
 	require.Equal(t, fault.NeverAccepted.FullName(), code(ids[1]))
 	require.Equal(t, fault.Expired.FullName(), code(ids[16]))
-	require.Equal(t, fault.Expired.FullName(), code(ids[0]), "shares the shard of an expired id")
+	require.Equal(t, fault.Expired.FullName(), code(ids[0]), "lower sequence number in the shard of an expired id")
 	require.Equal(t, fault.UnknownJob.FullName(), code(JobID{Domain: 1, Home: 7, Seq: 18}))
 }
 
--- a/contract/id.go
+++ b/contract/id.go
@@ -9,10 +9,10 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// idLength is the usual length of an id as text.
+// idLength is the initial capacity for the text of an id.
 const idLength = 48
 
-// JobID names a job. Only the incarnation Home may start its tasks.
+// JobID identifies a job. Only the incarnation Home may start its tasks.
 type JobID struct {
 	Domain zone.DomainID
 	Home   machine.Incarnation
@@ -22,7 +22,7 @@
 // String returns the form that callers see, for example j-2-00c0ffee00c0ffee-17.
 func (id JobID) String() string { return string(id.appendTo(make([]byte, 0, idLength))) }
 
-// appendTo appends the form that String returns. Ids are written for every start, which fmt would slow down.
+// appendTo appends the form that String returns. Ids are formatted for every start, which fmt would slow down.
 func (id JobID) appendTo(b []byte) []byte {
 	b = append(b, "j-"...)
 	b = strconv.AppendUint(b, uint64(id.Domain), 10)
@@ -35,15 +35,15 @@
 // maxJobID is the length of the longest id.
 const maxJobID = len("j-65535-0123456789abcdef-18446744073709551615")
 
-// ParseJobID reads the form that String writes, and no other form: workers compare ids as text, so that an id with a
-// second spelling could be started twice.
+// ParseJobID parses the canonical form that String returns and rejects any other: workers compare ids as text, so an
+// id with a second spelling could be started twice.
 func ParseJobID(s string) (JobID, error) {
 	if len(s) > maxJobID {
 		return JobID{}, fmt.Errorf("job id of %d bytes is too long", len(s))
 	}
 	id, err := parseJobID(s)
 	if err == nil && id.String() != s {
-		return JobID{}, fmt.Errorf("job id %q is not in its usual form %q", s, id)
+		return JobID{}, fmt.Errorf("job id %q is not in its canonical form %q", s, id)
 	}
 	return id, err
 }
@@ -68,7 +68,7 @@
 	return JobID{Domain: zone.DomainID(domain), Home: home, Seq: seq}, nil
 }
 
-// TaskID names a task by its job and index.
+// TaskID identifies a task by its job and index.
 type TaskID struct {
 	Job   JobID
 	Index int
@@ -80,7 +80,7 @@
 	return string(strconv.AppendInt(b, int64(id.Index), 10))
 }
 
-// ParseTaskID reads the form that String writes.
+// ParseTaskID parses the canonical form that String returns.
 func ParseTaskID(s string) (TaskID, error) {
 	job, index, ok := strings.Cut(s, ".")
 	if !ok {
@@ -96,7 +96,7 @@
 	}
 	task := TaskID{Job: id, Index: int(i)}
 	if task.String() != s {
-		return TaskID{}, fmt.Errorf("task id %q is not in its usual form %q", s, task)
+		return TaskID{}, fmt.Errorf("task id %q is not in its canonical form %q", s, task)
 	}
 	return task, nil
 }
--- a/contract/id_fuzz_test.go
+++ b/contract/id_fuzz_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against ids with two spellings, of which a worker would start both, and against input that panics.
+// Guards against ids with two spellings, both of which a worker would start, and against input that panics.
 func FuzzParseIDs(f *testing.F) {
 	for _, seed := range []string{
 		"j-1-00c0ffee00c0ffee-17", "j-65535-ffffffffffffffff-18446744073709551615.499", "j-01-00c0ffee00c0ffee-17",
--- a/contract/job.go
+++ b/contract/job.go
@@ -28,7 +28,7 @@
 	Priority int
 }
 
-// taskState is the life of a task at its home.
+// taskState is the state of a task at its home.
 type taskState uint8
 
 const (
@@ -68,7 +68,7 @@
 	}
 }
 
-// neverStarted reports whether no task of the job was or may have been started and none has ended. It expects the
+// neverStarted reports whether no task of the job has or may have started, and none has finished. It expects the
 // shard lock to be held.
 func (j *Job) neverStarted() bool {
 	return j.started == 0 && j.unfinished == len(j.spec.Tasks) && j.unfinished > 0
@@ -86,7 +86,7 @@
 	}
 }
 
-// payloadBytes is the memory that the job's tasks take until it ends.
+// payloadBytes estimates the memory of the job's tasks until the job ends.
 func (j *Job) payloadBytes() int {
 	n := jobOverhead
 	for _, t := range j.spec.Tasks {
@@ -155,8 +155,8 @@
 	close(j.done)
 }
 
-// fire expects the shard lock to be held. The callers check the state first, so that an event which the state does
-// not allow is a programming error.
+// fire expects the shard lock to be held. The callers check the state first, so an event that the state does not
+// allow is a programming error.
 func (j *Job) fire(e jobEvent) {
 	if err := fireJob(&j.state, e); err != nil {
 		panic(err)
--- a/contract/jobstate.go
+++ b/contract/jobstate.go
@@ -38,7 +38,7 @@
 
 type jobStateKey struct{}
 
-// jobMachine serves all jobs; the state is kept in the job.
+// jobMachine is shared by all jobs; the state is kept in the job.
 var jobMachine = newJobMachine()
 
 func newJobMachine() *stateless.StateMachine {
@@ -59,12 +59,13 @@
 	m.Configure(JobRunning).
 		Permit(jobEventCompleted, JobComplete).
 		Permit(jobEventFailed, JobFailed).
-		// A running job whose starts were all proven not to have happened may move as well.
+		// A running job may be handed over too, if all of its starts were proven not to have happened.
 		Permit(jobEventHandedOver, JobHandedOver)
 	return m
 }
 
-// fireJob expects the shard lock of the job to be held. An event that the state does not allow is an error.
+// fireJob returns an error for an event that the state does not allow. It expects the shard lock of the job to be
+// held.
 func fireJob(s *JobState, e jobEvent) error {
 	return jobMachine.FireCtx(context.WithValue(context.Background(), jobStateKey{}, s), e)
 }
--- a/contract/jobtable.go
+++ b/contract/jobtable.go
@@ -13,25 +13,25 @@
 	jobShards = 16
 	// AnswerRetention is how long a finished job's answer is kept for resubmissions.
 	AnswerRetention = 10 * time.Minute
-	// RetainedBytes bounds the memory of the answers kept; beyond it the oldest are dropped early and their ids are
-	// answered as expired.
+	// RetainedBytes bounds the memory of the retained answers; beyond it the oldest are dropped early, and requests for
+	// their ids are answered as expired.
 	RetainedBytes = 128 << 20
-	// PendingBytes bounds the memory of the jobs that have not ended; beyond it new jobs are refused as not run.
+	// PendingBytes bounds the memory of unfinished jobs; beyond it new jobs are refused as not run.
 	PendingBytes = 256 << 20
 )
 
 // Names of the invariants that the table checks.
 const (
-	InvariantAnswerWhole   = "answer_whole"
-	InvariantNotRunIsTrue  = "not_run_is_true"
-	InvariantFinishStarted = "finish_follows_start"
+	InvariantAnswerComplete = "answer_whole"
+	InvariantNotRunIsTrue   = "not_run_is_true"
+	InvariantFinishStarted  = "finish_follows_start"
 )
 
-// Check is told of every check of an invariant.
+// Check is called with the result of every invariant check.
 type Check func(invariant string, holds bool)
 
-// JobTable holds the jobs of one home, and those that other homes have handed over to it, in shards by sequence
-// number.
+// JobTable holds the jobs of one home (the member that accepted them and answers for them) and those that other homes
+// have handed over to it, in shards by sequence number.
 type JobTable struct {
 	domain  zone.DomainID
 	home    machine.Incarnation
@@ -50,19 +50,19 @@
 type jobShard struct {
 	mu   sync.Mutex
 	jobs map[JobID]*Job
-	// expired is, per home, the highest sequence number whose answer was dropped; an unknown id up to it is never
+	// expired is, for each home, the highest sequence number whose answer was dropped; an unknown id up to it is never
 	// run.
 	expired map[machine.Incarnation]uint64
-	// ended holds the ids of the jobs that have ended in the order of their end.
+	// ended holds the ids of the jobs that have ended, in the order in which they ended.
 	ended    []JobID
 	retained int
 	pending  int
 	closed   bool
 }
 
-// NewJobTable returns the table of the given home. A violated invariant panics until OnCheck sets another reaction.
+// NewJobTable returns the table of the given home. A violated invariant panics unless OnCheck sets another handler.
 func NewJobTable(domain zone.DomainID, home machine.Incarnation) *JobTable {
-	t := &JobTable{domain: domain, home: home, check: mustHold}
+	t := &JobTable{domain: domain, home: home, check: panicOnViolation}
 	t.mint.next = 1
 	for i := range t.shards {
 		t.shards[i].jobs = make(map[JobID]*Job)
@@ -72,20 +72,20 @@
 	return t
 }
 
-func mustHold(invariant string, holds bool) {
+func panicOnViolation(invariant string, holds bool) {
 	if !holds {
 		panic("violated invariant: " + invariant)
 	}
 }
 
-// OnCheck sets the reaction to checks of invariants. It must be called before the table is shared.
+// OnCheck sets the handler of invariant checks. It must be called before the table is shared.
 func (t *JobTable) OnCheck(c Check) { t.check = c }
 
 func (t *JobTable) shard(id JobID) *jobShard {
 	return &t.shards[id.Seq%jobShards]
 }
 
-// Mint returns n fresh job ids, or none once minting is closed.
+// Mint returns n new job ids, or none once minting has stopped.
 func (t *JobTable) Mint(n int) []JobID {
 	t.mint.mu.Lock()
 	defer t.mint.mu.Unlock()
@@ -114,8 +114,8 @@
 	return id.Seq < t.mint.next
 }
 
-// Accept registers a job. For an id that is already known it returns false: the submission is a repetition and
-// nothing of it must be queued.
+// Accept registers a job. It returns false for a known id: the submission is a repetition and none of its tasks may
+// be queued.
 func (t *JobTable) Accept(spec JobSpec, now time.Time) (bool, error) {
 	if spec.ID.Home != t.home || !t.minted(spec.ID) {
 		return false, fault.With(fault.UnknownJob, "unknown id", "job id %s was not minted here", spec.ID)
@@ -134,14 +134,14 @@
 	}
 	j := newJob(spec, now)
 	if s.pending+j.payloadBytes() > PendingBytes/jobShards {
-		return false, fault.With(fault.Overloaded, "memory", "the unfinished jobs take the memory set aside for them")
+		return false, fault.With(fault.Overloaded, "memory", "the memory limit of unfinished jobs is reached")
 	}
 	s.add(j)
 	return true, nil
 }
 
-// Refuse records that a job was refused, so that a copy of the submission that arrives late is not accepted. It
-// returns false if the id is known or expired, in which case nothing may be claimed of it.
+// Refuse records that a job was refused, so that a copy of the submission that arrives later is not accepted. It
+// returns false if the id is known or expired; the caller must then not report the job as refused.
 func (t *JobTable) Refuse(id JobID, reason, detail string, now time.Time) bool {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -152,12 +152,12 @@
 	if id.Home != t.home || id.Seq <= s.expired[id.Home] || !t.minted(id) {
 		return false
 	}
-	s.addEnded(Answer{Job: id, Verdict: VerdictRefused, Reason: reason, Detail: detail}, now)
+	s.addFinished(Answer{Job: id, Verdict: VerdictRefused, Reason: reason, Detail: detail}, now)
 	return true
 }
 
-// addEnded expects s.mu to be held and the id to be unknown.
-func (s *jobShard) addEnded(a Answer, now time.Time) {
+// addFinished expects s.mu to be held and the id to be unknown.
+func (s *jobShard) addFinished(a Answer, now time.Time) {
 	j := newJob(JobSpec{ID: a.Job}, now)
 	j.answer, j.finished = a, now
 	j.state = JobFailed
@@ -166,7 +166,7 @@
 	}
 	close(j.done)
 	s.add(j)
-	s.keep(j)
+	s.retain(j)
 }
 
 // add expects s.mu to be held.
@@ -185,8 +185,8 @@
 	Deadline time.Time
 }
 
-// Start is the gate in front of every start: it moves the task from waiting to started, once, and returns false
-// if the task was cancelled, was handed over or has started before.
+// Start moves a task from waiting to started, at most once, and must be called before every start. It returns false
+// if the task was cancelled, was handed over or has already started.
 func (t *JobTable) Start(id TaskID, worker string) (StartTicket, bool) {
 	s := t.shard(id.Job)
 	s.mu.Lock()
@@ -207,7 +207,7 @@
 	}, true
 }
 
-// NotStarted takes a ticket back after a proof that the start did not happen. It returns false if the job was
+// NotStarted reverts Start after proof that the worker did not start the task. It returns false if the job was
 // cancelled meanwhile; the task is then finished as not run.
 func (t *JobTable) NotStarted(id TaskID, now time.Time) bool {
 	s := t.shard(id.Job)
@@ -226,8 +226,8 @@
 	return true
 }
 
-// Finish records the outcome of a task, once. It returns the answer when this was the job's last task. "Not run" is
-// only taken for a task that waits, every other outcome only for one that was started.
+// Finish records the outcome of a task, once. If this was the job's last task, it returns the answer. "Not run" is
+// accepted only for a waiting task, every other outcome only for a started one.
 func (t *JobTable) Finish(id TaskID, report TaskReport, result []byte, now time.Time) (Answer, bool) {
 	s := t.shard(id.Job)
 	s.mu.Lock()
@@ -258,13 +258,13 @@
 	if j.unfinished > 0 {
 		return
 	}
-	t.check(InvariantAnswerWhole, j.answer.Consistent())
-	s.keep(j)
+	t.check(InvariantAnswerComplete, j.answer.Consistent())
+	s.retain(j)
 }
 
-// keep moves a job that has ended from the pending to the retained memory and drops the oldest answers beyond the
-// bound. It expects s.mu to be held.
-func (s *jobShard) keep(j *Job) {
+// retain moves a finished job from the pending to the retained memory and drops the oldest answers beyond the bound.
+// It expects s.mu to be held.
+func (s *jobShard) retain(j *Job) {
 	s.pending -= j.size
 	j.size = j.answer.bytes()
 	s.retained += j.size
@@ -274,7 +274,7 @@
 	}
 }
 
-// dropOldest expects s.mu to be held and an ended job to exist.
+// dropOldest expects s.mu to be held and at least one finished job.
 func (s *jobShard) dropOldest() {
 	id := s.ended[0]
 	s.ended = s.ended[1:]
@@ -310,7 +310,7 @@
 func (t *JobTable) find(id JobID, s *jobShard) (*Job, error) {
 	j, ok := s.jobs[id]
 	if !ok {
-		return nil, t.missing(id, s)
+		return nil, t.missingError(id, s)
 	}
 	if j.state == JobHandedOver {
 		return nil, fault.With(fault.HandedOver, "handed over", "job %s was handed over", id)
@@ -318,18 +318,18 @@
 	return j, nil
 }
 
-// missing explains why an id is not in the table. It expects the shard lock to be held.
-func (t *JobTable) missing(id JobID, s *jobShard) error {
+// missingError returns the reason for which an id is not in the table. It expects the shard lock to be held.
+func (t *JobTable) missingError(id JobID, s *jobShard) error {
 	if id.Seq <= s.expired[id.Home] {
-		return fault.With(fault.Expired, "expired id", "the answer of %s is no longer kept", id)
+		return fault.With(fault.Expired, "expired id", "the answer of job %s has expired", id)
 	}
 	if id.Home != t.home {
-		return t.adopted.missing(id)
+		return t.adopted.missingError(id)
 	}
 	return fault.With(fault.UnknownJob, "unknown id", "job %s was not submitted", id)
 }
 
-// Lookup returns the answer, pending or final, and a channel that is closed when the answer is final or the job is
+// Lookup returns the pending or final answer, and a channel that is closed when the answer is final or the job is
 // handed over.
 func (t *JobTable) Lookup(id JobID) (Answer, <-chan struct{}, error) {
 	s := t.shard(id)
@@ -374,7 +374,7 @@
 	return j.progress(), nil
 }
 
-// Expire drops answers that are older than the retention.
+// Expire drops answers that are older than AnswerRetention and returns their number.
 func (t *JobTable) Expire(now time.Time) int {
 	n := 0
 	for i := range t.shards {
--- a/contract/jobtable_rapid_test.go
+++ b/contract/jobtable_rapid_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// tableModel drives the tables of a home and its successor and remembers what was started where.
+// tableModel drives the tables of a home and its successor and records what was started where.
 type tableModel struct {
 	home, successor *JobTable
 	now             time.Time
 	ids             []JobID
 	tasks           map[JobID]int
-	ran             map[TaskID]int // starts that are not proven not to have happened
+	starts          map[TaskID]int // starts that are not proven not to have happened
 	running         map[TaskID]*JobTable
 	answers         map[JobID]Answer
 	detached        []JobSpec
@@ -44,24 +44,24 @@
 		m.tasks[ids[0]] = rapid.IntRange(1, 3).Draw(t, "tasks")
 	}
 	task, table := m.anyTask(t)
-	// Repetitions and refusals are part of the run; the gate is checked at the start.
+	// Repeated and refused submissions are part of the test; the start action checks that no task starts twice.
 	_, _ = table.Accept(m.spec(task.Job), m.now)
 }
 
 func (m *tableModel) start(t *rapid.T) {
 	task, table := m.anyTask(t)
 	if _, ok := table.Start(task, "w"); ok {
-		m.ran[task]++
+		m.starts[task]++
 		m.running[task] = table
 	}
-	require.LessOrEqual(t, m.ran[task], 1, "task %s started twice", task)
+	require.LessOrEqual(t, m.starts[task], 1, "task %s started twice", task)
 }
 
 func (m *tableModel) notStarted(t *rapid.T) {
 	task, _ := m.anyTask(t)
 	if table, ok := m.running[task]; ok {
 		delete(m.running, task)
-		m.ran[task]--
+		m.starts[task]--
 		table.NotStarted(task, m.now)
 	}
 }
@@ -88,7 +88,8 @@
 	m.successor.Expire(m.now)
 }
 
-// handOver closes the home and passes jobs and answers on; parts may be repeated and the last one may be missing.
+// handOver closes the home and delivers jobs and answers to the successor; parts may be repeated and the last one may
+// be missing.
 func (m *tableModel) handOver(t *rapid.T) {
 	m.home.Close()
 	m.homeClosed = true
@@ -111,7 +112,7 @@
 	}
 }
 
-// check holds after every action.
+// check runs after every action.
 func (m *tableModel) check(t *rapid.T) {
 	for _, id := range m.ids {
 		for _, table := range []*JobTable{m.home, m.successor} {
@@ -122,7 +123,7 @@
 			require.True(t, a.Consistent())
 			for i, r := range a.Reports {
 				if r.Outcome == OutcomeNotRun {
-					require.Zero(t, m.ran[TaskID{Job: id, Index: i}], "false report of a task as not run")
+					require.Zero(t, m.starts[TaskID{Job: id, Index: i}], "task reported as not run although it was started")
 				}
 			}
 			if first, ok := m.answers[id]; ok {
@@ -134,12 +135,13 @@
 }
 
 // Guards against a second start of a task, a partial or changing answer and a false "not run" under any interleaving
-// of acceptance, starts, proofs, ends, cancellation, hand-over with repeated parts, and expiry.
-func TestJobTableKeepsPromises(t *testing.T) {
+// of acceptance, starts, proofs that a start did not happen, completions, cancellation, hand-over with repeated
+// parts, and expiry.
+func TestJobTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &tableModel{
 			home: NewJobTable(1, 7), successor: NewJobTable(1, 8), now: time.Unix(1000, 0),
-			tasks: map[JobID]int{}, ran: map[TaskID]int{}, running: map[TaskID]*JobTable{}, answers: map[JobID]Answer{},
+			tasks: map[JobID]int{}, starts: map[TaskID]int{}, running: map[TaskID]*JobTable{}, answers: map[JobID]Answer{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": m.accept, "start": m.start, "not started": m.notStarted, "finish": m.finish, "cancel": m.cancel,
--- a/contract/jobtable_test.go
+++ b/contract/jobtable_test.go
@@ -31,7 +31,7 @@
 	require.False(t, ok)
 }
 
-// Guards against a partial answer: one failed task must withhold all results.
+// Guards against a partial answer: one failed task must suppress all results.
 func TestFailedJobCarriesNoResults(t *testing.T) {
 	table, id := acceptedJob(t, 2)
 	for i := range 2 {
@@ -63,7 +63,7 @@
 	require.Equal(t, OutcomeNotRun, a.Reports[1].Outcome)
 }
 
-// Guards against running a job again whose answer was dropped after the retention.
+// Guards against running a job again after its answer has expired.
 func TestExpiredJobIsNotAcceptedAgain(t *testing.T) {
 	table, id := acceptedJob(t, 1)
 	now := time.Now()
--- a/contract/outgrow.go
+++ b/contract/outgrow.go
@@ -1,6 +1,6 @@
 package contract
 
-// Outgrow counts a slot in use that was granted for short work as held by long work.
+// Outgrow reclassifies a short slot in use as long, because its task has exceeded the short-task limit.
 func (h *Holdings) Outgrow(s Slot) {
 	w, ok := h.workers[s.Worker]
 	if !ok || s.Long || w.Short == 0 {
--- a/contract/quotashare.go
+++ b/contract/quotashare.go
@@ -6,8 +6,9 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// QuotaTransfer moves a part of a team's quota from one holder to another. Total is the sum of all that the giver has
-// given to the receiver, so that a repeated or overtaken transfer adds nothing and a later one makes up for a lost one.
+// QuotaTransfer moves a part of a team's quota from one holder to another. Total is the cumulative amount that the
+// giver has transferred to the receiver, so a repeated or reordered transfer adds nothing and a later one makes up
+// for a lost one.
 type QuotaTransfer struct {
 	Team     string
 	Revision uint64
@@ -17,37 +18,37 @@
 	Total    uint64
 }
 
-// QuotaShare is a holder's part of a team's quota. Holders are processes, because a new process knows nothing of what
-// the one before has given away. The caller's lock guards it.
+// QuotaShare is a holder's part of a team's quota. Holders are processes, because a new process does not know what
+// the previous one has transferred. The caller's lock guards it.
 type QuotaShare struct {
 	team     string
 	revision uint64
 	self     machine.Incarnation
 	held     int
 	given    map[machine.Incarnation]*givenQuota
-	got      map[machine.Incarnation]uint64
+	received map[machine.Incarnation]uint64
 }
 
-// givenQuota is what was given to one receiver.
+// givenQuota is the quota transferred to one receiver.
 type givenQuota struct {
 	sequence uint64
 	total    uint64
 	acked    uint64
 }
 
-// NewQuotaShare returns the share of a process at a revision of the team's quota. Seeded is what it holds without a
-// transfer; of all holders of a failure domain one seeds the domain's part.
+// NewQuotaShare returns the share of a process at a revision of the team's quota. seeded is the initial allocation,
+// held without a transfer; exactly one holder of a failure domain gets the domain's part as its initial allocation.
 func NewQuotaShare(team string, revision uint64, self machine.Incarnation, seeded int) *QuotaShare {
 	return &QuotaShare{
 		team: team, revision: revision, self: self, held: seeded,
-		given: make(map[machine.Incarnation]*givenQuota), got: make(map[machine.Incarnation]uint64),
+		given: make(map[machine.Incarnation]*givenQuota), received: make(map[machine.Incarnation]uint64),
 	}
 }
 
-// Held returns the share.
+// Held returns the quota that the holder has.
 func (s *QuotaShare) Held() int { return s.held }
 
-// Revision returns the revision of the quota that the share is a part of.
+// Revision returns the revision of the team's quota that the share belongs to.
 func (s *QuotaShare) Revision() uint64 { return s.revision }
 
 // Give subtracts at most n from the share and returns the transfer to send.
@@ -73,20 +74,20 @@
 	}
 }
 
-// Take adds what a transfer brings beyond the earlier ones. It reports whether the transfer is meant for this share
-// and so has to be acknowledged.
+// Take adds the amount by which a transfer exceeds the earlier ones. It reports whether the transfer is addressed to
+// this share and so has to be acknowledged.
 func (s *QuotaShare) Take(t QuotaTransfer) bool {
 	if t.To != s.self || t.Revision != s.revision || t.Team != s.team {
 		return false
 	}
-	if before := s.got[t.From]; t.Total > before {
+	if before := s.received[t.From]; t.Total > before {
 		s.held += int(t.Total - before)
-		s.got[t.From] = t.Total
+		s.received[t.From] = t.Total
 	}
 	return true
 }
 
-// Acknowledge records that the receiver has taken a transfer.
+// Acknowledge records that the receiver has applied a transfer.
 func (s *QuotaShare) Acknowledge(t QuotaTransfer) {
 	if t.From != s.self || t.Revision != s.revision {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// Pending returns the transfers that are not acknowledged, to be sent again.
+// Pending returns the transfers that are not acknowledged and have to be sent again.
 func (s *QuotaShare) Pending() []QuotaTransfer {
 	var out []QuotaTransfer
 	for to, g := range s.given {
@@ -108,8 +109,8 @@
 	return out
 }
 
-// SeededPart returns the part of a quota that the n-th of several failure domains seeds. The parts add up to the
-// quota.
+// SeededPart returns the initial allocation of a quota to the n-th of several failure domains. The parts add up to
+// the quota.
 func SeededPart(quota, n, domains int) int {
 	if domains <= 0 || n < 0 || n >= domains {
 		return 0
--- a/contract/quotashare_test.go
+++ b/contract/quotashare_test.go
@@ -9,8 +9,8 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Guards against quota that is created by lost, repeated or overtaken transfers, by a holder that restarts or by
-// transfers between revisions, and against quota that stays lost after the messages have got through.
+// Guards against quota that is created by lost, repeated or reordered transfers, by a holder that restarts or by
+// transfers of another revision, and against quota that stays lost after the transfers have been delivered.
 func TestQuotaSharesNeverExceedTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const quota, holders = 100, 4
@@ -89,7 +89,7 @@
 			}
 		}
 		if !restarted {
-			require.Equal(t, quota, sum(), "all transfers have got through")
+			require.Equal(t, quota, sum(), "all transfers have been delivered")
 		}
 	})
 }
--- a/contract/slotbuckets.go
+++ b/contract/slotbuckets.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// Speeds are compared in steps of a tenth, from a quarter to four times the average.
-	speedStep    = 1.1
-	speedBuckets = 32
-	averageSpeed = speedBuckets / 2
+	// Speeds are compared in steps of 10%, from a quarter to four times the average.
+	speedStep     = 1.1
+	speedBuckets  = 32
+	averageBucket = speedBuckets / 2
 )
 
 // slotBuckets holds idle slots by the speed of their worker.
@@ -24,7 +24,7 @@
 	if speed <= 0 {
 		return 0
 	}
-	b := averageSpeed + int(math.Round(math.Log(speed)/math.Log(speedStep)))
+	b := averageBucket + int(math.Round(math.Log(speed)/math.Log(speedStep)))
 	return max(0, min(speedBuckets-1, b))
 }
 
@@ -35,8 +35,8 @@
 	b.length++
 }
 
-// pop removes the slot added last from a bucket that is not empty. Slots that are idle for long thereby stay idle and
-// can be returned.
+// pop removes the most recently added slot of a bucket that is not empty. Slots that have been idle for long thus
+// stay idle and can be returned.
 func (b *slotBuckets) pop(i int) Slot {
 	n := len(b.slots[i]) - 1
 	s := b.slots[i][n]
--- a/contract/submission.go
+++ b/contract/submission.go
@@ -8,19 +8,19 @@
 	Key *CallerKey
 }
 
-// Submission is a job as a caller hands it over.
+// Submission is a job as submitted by a caller.
 type Submission struct {
 	Ref      JobRef
 	Service  string
 	Customer string
 	Team     string
 	Tasks    []TaskSpec
-	// Deadline is the time allowed from acceptance to the whole answer; zero takes that of the request kinds.
+	// Deadline is the time allowed from acceptance to the complete answer; zero selects that of the request kinds.
 	Deadline time.Duration
 	Priority int
 }
 
-// Change is a caller's change of a job that has not ended.
+// Change is a caller's change to a job that has not ended.
 type Change struct {
 	Deadline time.Duration
 	Priority int
