--- a/machine/entryvm.go
+++ b/machine/entryvm.go
@@ -1,10 +1,10 @@
 package machine
 
-// EntryVM is a machine that accepts jobs. ID names the VM, Incarnation the process that runs on it now.
+// EntryVM is a machine that accepts jobs. ID identifies the VM, Incarnation the process that currently runs on it.
 type EntryVM struct {
 	ID          string
 	Incarnation Incarnation
-	// PeerAddress is where other entry VMs reach it, CallerAddress where callers do.
+	// PeerAddress is the address for other entry VMs, CallerAddress the one for callers.
 	PeerAddress   string
 	CallerAddress string
 }
--- a/machine/example_test.go
+++ b/machine/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// A worker that fails work which succeeds elsewhere is quarantined and gets no more slots.
+// A worker that fails tasks of kinds that succeed on other workers is quarantined and gets no more slots.
 func ExampleWorker_quarantine() {
 	now := time.Unix(0, 0)
 	fleet := machine.NewFleet()
--- a/machine/fleet.go
+++ b/machine/fleet.go
@@ -43,7 +43,7 @@
 	return w, ok
 }
 
-// Upsert adds a worker or updates its entry. It reports whether the worker is new.
+// Upsert adds a worker or updates its spec. It reports whether the worker is new.
 func (f *Fleet) Upsert(spec WorkerSpec) (*Worker, bool) {
 	s := f.shard(spec.ID)
 	s.mu.Lock()
@@ -59,7 +59,7 @@
 	return w, !ok
 }
 
-// Remove forgets a worker.
+// Remove deletes a worker.
 func (f *Fleet) Remove(id WorkerID) {
 	s := f.shard(id)
 	s.mu.Lock()
@@ -82,8 +82,8 @@
 	return all
 }
 
-// CentreSpeeds makes the average worker of each service have speed 1. Run times and speeds are learned from each
-// other, so without a fixed average both could drift together.
+// CentreSpeeds shifts the speeds of each service so that the average worker has speed 1. Run times and speeds are
+// learned from each other, so without a fixed average both could drift together.
 func (f *Fleet) CentreSpeeds() {
 	byService := make(map[string][]*Worker)
 	for _, w := range f.All() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// Capacity counts the workers of a service and their usable slots, plain and with each counted by its speed.
+// Capacity returns the number of workers of a service and their usable slots, unweighted and weighted by speed.
 func (f *Fleet) Capacity(service string, now time.Time) (workers, slots int, speed float64) {
 	for i := range f.shards {
 		s := &f.shards[i]
--- a/machine/health.go
+++ b/machine/health.go
@@ -7,7 +7,7 @@
 	"github.com/qmuntal/stateless"
 )
 
-// HealthState is the state of a worker as this entry VM judges it.
+// HealthState is the health of a worker as judged by this entry VM.
 type HealthState uint8
 
 // Health states. A suspect worker gets fewer slots, a quarantined one none, and a probing one a single slot.
@@ -28,31 +28,31 @@
 }
 
 const (
-	// suspectScore and quarantineScore bound what a worker that fails everything may lose: it is out after four
-	// failures that are not expected of the kind, besides the tasks that run on it by then.
+	// suspectScore and quarantineScore bound the tasks lost to a worker that fails everything: it is quarantined after
+	// four failures that are not expected of the kind, and loses in addition only the tasks that run on it at that time.
 	suspectScore    = 2.0
 	quarantineScore = 4.0
-	// rejectionScore is the weight of a rejected start. Rejections lose no task, so more of them are borne.
+	// rejectionScore is the weight of a rejected start. Rejections lose no task, so more of them are tolerated.
 	rejectionScore = 0.5
-	// unprovenLimit is the number of failures in a row of kinds that have not succeeded anywhere yet after which a
-	// worker is suspected. They never suffice for a quarantine.
+	// unprovenLimit is the number of consecutive failures of kinds that have not succeeded on any worker after which a
+	// worker is suspected. Such failures never cause a quarantine.
 	unprovenLimit = 3
-	// firstHold is the time without new work after the last of these failures; it doubles with each further one. A
-	// worker that fails at once would otherwise draw all the work before another one has had the time to succeed.
+	// firstHold is the time without new work after the last of these failures; it doubles with each further one. Without
+	// it, a worker that fails immediately would attract all the work before another one has had time to succeed.
 	firstHold     = 20 * time.Millisecond
 	holdDoublings = 5
-	// suspicionLasts is the time without a failure after which a suspect is healthy again, even if it has run nothing.
-	suspicionLasts = 5 * time.Second
-	// successFactor is what a success leaves of the score.
+	// suspicionTTL is the time without a failure after which a suspect is healthy again, even if it has run nothing.
+	suspicionTTL = 5 * time.Second
+	// successFactor multiplies the score after a success.
 	successFactor = 0.5
-	// suspectShare divides the slots of a suspect.
+	// suspectShare is the divisor of a suspect's slots.
 	suspectShare = 4
-	// probesToHeal is the number of successes in a row after which a probed worker gets its slots back.
-	probesToHeal    = 3
+	// probesToRecover is the number of consecutive successes after which a probed worker gets its slots back.
+	probesToRecover = 3
 	firstQuarantine = time.Second
-	longestPause    = 30 * time.Second
-	// pauseResetAfter is the time without a quarantine after which the pause starts from the beginning.
-	pauseResetAfter = time.Minute
+	maxQuarantine   = 30 * time.Second
+	// quarantineResetAfter is the time without a quarantine after which the next one lasts firstQuarantine again.
+	quarantineResetAfter = time.Minute
 )
 
 type healthEvent uint8
@@ -61,14 +61,14 @@
 	healthSuspected healthEvent = iota
 	healthCleared
 	healthQuarantined
-	healthPauseOver
+	healthQuarantineEnded
 	healthProbeFailed
 	healthProbesPassed
 )
 
 type healthStateKey struct{}
 
-// healthMachine serves all workers; the state is kept in Health.
+// healthMachine is shared by all workers; the state is kept in Health.
 var healthMachine = newHealthMachine()
 
 func newHealthMachine() *stateless.StateMachine {
@@ -89,7 +89,7 @@
 		Permit(healthCleared, Healthy).
 		Permit(healthQuarantined, Quarantined)
 	m.Configure(Quarantined).
-		Permit(healthPauseOver, Probing).
+		Permit(healthQuarantineEnded, Probing).
 		Permit(healthCleared, Healthy)
 	m.Configure(Probing).
 		Permit(healthProbeFailed, Quarantined).
@@ -98,43 +98,44 @@
 	return m
 }
 
-// Evidence is the end of one start as far as it speaks about the worker.
+// Evidence is the outcome of one start, as it counts for the health of the worker.
 type Evidence struct {
 	Failed   bool
 	Rejected bool
-	// Proven says that the same kind of work succeeds on other workers. Without it a failure does not count.
+	// Proven means that the same kind of work succeeds on other workers. Without it a failure does not count towards a
+	// quarantine.
 	Proven bool
-	// Explained says that the same kind of work fails on several workers and succeeds on none.
+	// Explained means that the same kind of work fails on several workers and succeeds on none.
 	Explained bool
 	// Expected is the failure rate of the same kind of work on other workers.
 	Expected float64
 }
 
-// Health judges a worker by its failures against those of its failure domain. It is a plain value; the lock of the
-// worker guards it.
+// Health tracks the health of a worker by its failures, compared with those of the other workers of its failure
+// domain. It is a plain value; the lock of the worker guards it.
 type Health struct {
-	state    HealthState
-	score    float64
-	unproven int
-	passed   int
-	pause    time.Duration
-	until    time.Time
-	// failed is the time of the last failure.
-	failed time.Time
-	// held is the end of a suspect's time without new work.
-	held time.Time
+	state          HealthState
+	score          float64
+	unproven       int
+	probesPassed   int
+	quarantineTime time.Duration
+	quarantineEnd  time.Time
+	// lastFailure is the time of the last failure.
+	lastFailure time.Time
+	// holdUntil is the end of a suspect's time without new work.
+	holdUntil time.Time
 }
 
 // State returns the state.
 func (h *Health) State() HealthState { return h.state }
 
-// Observe takes over the end of a start and reports whether the state has changed.
+// Observe applies the outcome of a start and reports whether the state has changed.
 func (h *Health) Observe(e Evidence, now time.Time) bool {
 	before := h.state
 	h.tick(now)
 	switch {
 	case h.state == Quarantined:
-		// The tasks that ran when the worker was quarantined say nothing new.
+		// The tasks that ran when the worker was quarantined give no new evidence.
 	case h.state == Probing:
 		h.probe(e, now)
 	case e.Failed || e.Rejected:
@@ -153,13 +154,13 @@
 	if e.Explained {
 		return
 	}
-	h.failed = now
+	h.lastFailure = now
 	if !e.Proven {
 		h.unproven++
 		if h.unproven >= unprovenLimit {
 			h.fire(healthSuspected)
 			pause := firstHold << min(h.unproven-unprovenLimit, holdDoublings)
-			h.held = now.Add(pause)
+			h.holdUntil = now.Add(pause)
 		}
 		return
 	}
@@ -172,7 +173,7 @@
 }
 
 func (h *Health) succeed() {
-	h.unproven, h.held = 0, time.Time{}
+	h.unproven, h.holdUntil = 0, time.Time{}
 	h.score *= successFactor
 	if h.score < suspectScore {
 		h.fire(healthCleared)
@@ -186,51 +187,52 @@
 		}
 		return
 	}
-	h.passed++
-	if h.passed >= probesToHeal {
+	h.probesPassed++
+	if h.probesPassed >= probesToRecover {
 		h.score, h.unproven = 0, 0
 		h.fire(healthProbesPassed)
 	}
 }
 
-// quarantine starts a quarantine that lasts twice as long as the one before, unless that was long ago.
+// quarantine starts a quarantine that lasts twice as long as the previous one, unless that ended longer than
+// quarantineResetAfter ago.
 func (h *Health) quarantine(e healthEvent, now time.Time) {
 	switch {
-	case h.pause == 0 || now.Sub(h.until) > pauseResetAfter:
-		h.pause = firstQuarantine
+	case h.quarantineTime == 0 || now.Sub(h.quarantineEnd) > quarantineResetAfter:
+		h.quarantineTime = firstQuarantine
 	default:
-		h.pause = min(2*h.pause, longestPause)
+		h.quarantineTime = min(2*h.quarantineTime, maxQuarantine)
 	}
-	h.until = now.Add(h.pause)
-	h.passed = 0
+	h.quarantineEnd = now.Add(h.quarantineTime)
+	h.probesPassed = 0
 	h.fire(e)
 }
 
-// Retract withdraws failures that have turned out to be the fault of a job.
+// Retract withdraws failures that turned out to be caused by a job, and reports whether the state has changed.
 func (h *Health) Retract(failures int, now time.Time) bool {
 	before := h.state
 	h.tick(now)
 	h.score = max(0, h.score-float64(failures))
-	h.unproven, h.held = 0, time.Time{}
+	h.unproven, h.holdUntil = 0, time.Time{}
 	if h.score < suspectScore {
 		h.fire(healthCleared)
 	}
 	return h.state != before
 }
 
-// Warn takes over that another entry VM has quarantined the worker. Its judgement may come from its own network, so
-// that the worker is only suspected: it gets fewer slots, and half of the failures suffice for a quarantine here.
+// Warn records that another entry VM has quarantined the worker. That judgement may be due to the other VM's network,
+// so the worker is only suspected: it gets fewer slots, and half the failures suffice for a quarantine here.
 func (h *Health) Warn(now time.Time) bool {
 	before := h.state
 	h.tick(now)
 	if h.state == Healthy {
-		h.score, h.failed = max(h.score, suspectScore), now
+		h.score, h.lastFailure = max(h.score, suspectScore), now
 		h.fire(healthSuspected)
 	}
 	return h.state != before
 }
 
-// Tick ends a quarantine whose pause is over and reports whether the state has changed.
+// Tick ends a suspicion or quarantine whose time has passed and reports whether the state has changed.
 func (h *Health) Tick(now time.Time) bool {
 	before := h.state
 	h.tick(now)
@@ -238,19 +240,20 @@
 }
 
 func (h *Health) tick(now time.Time) {
-	if h.state == Suspect && now.Sub(h.failed) >= suspicionLasts {
-		h.score, h.unproven, h.held = 0, 0, time.Time{}
+	if h.state == Suspect && now.Sub(h.lastFailure) >= suspicionTTL {
+		h.score, h.unproven, h.holdUntil = 0, 0, time.Time{}
 		h.fire(healthCleared)
 	}
-	if h.state == Quarantined && !now.Before(h.until) {
-		h.fire(healthPauseOver)
+	if h.state == Quarantined && !now.Before(h.quarantineEnd) {
+		h.fire(healthQuarantineEnded)
 	}
 }
 
-// restart probes a worker with a new process if the old one was not healthy.
+// restart resets the health of a worker that runs a new process: a suspect becomes healthy, and a quarantined worker
+// is probed.
 func (h *Health) restart() {
-	h.fire(healthPauseOver)
-	h.score, h.unproven, h.passed = 0, 0, 0
+	h.fire(healthQuarantineEnded)
+	h.score, h.unproven, h.probesPassed = 0, 0, 0
 	h.fire(healthCleared)
 }
 
@@ -258,7 +261,7 @@
 func (h *Health) Slots(n int, now time.Time) int {
 	switch h.state {
 	case Suspect:
-		if now.Before(h.held) {
+		if now.Before(h.holdUntil) {
 			return 0
 		}
 		return min(n, max(1, n/suspectShare))
@@ -273,6 +276,6 @@
 
 func (h *Health) fire(e healthEvent) {
 	ctx := context.WithValue(context.Background(), healthStateKey{}, &h.state)
-	// Unhandled events are ignored by the machine, and its accessors cannot fail.
+	// The state machine ignores unhandled events, and its accessors cannot fail.
 	_ = healthMachine.FireCtx(ctx, e)
 }
--- a/machine/health_test.go
+++ b/machine/health_test.go
@@ -27,8 +27,8 @@
 	require.Equal(t, Quarantined, h.State())
 }
 
-// Guards against workers that are quarantined for a kind that fails everywhere, whether it never succeeded or fails as
-// often elsewhere.
+// Guards against workers that are quarantined for a kind of work that fails everywhere: one that has never succeeded,
+// and one that fails as often on other workers.
 func TestFailingKindDoesNotQuarantine(t *testing.T) {
 	var unproven, expected Health
 	for range 1000 {
@@ -41,7 +41,7 @@
 	require.Equal(t, Healthy, unproven.State())
 }
 
-// Guards against probes in parallel, pauses that do not grow, and a worker that never returns.
+// Guards against parallel probes, quarantines that do not grow, and a worker that never recovers.
 func TestProbesWithGrowingPauses(t *testing.T) {
 	var h Health
 	for range 4 {
@@ -49,7 +49,7 @@
 	}
 	now, last := epoch, time.Duration(0)
 	for range 4 {
-		pause := h.until.Sub(now)
+		pause := h.quarantineEnd.Sub(now)
 		require.Greater(t, pause, last)
 		last = pause
 		require.False(t, h.Tick(now.Add(pause-1)))
@@ -59,16 +59,16 @@
 		h.Observe(failure, now)
 		require.Equal(t, Quarantined, h.State())
 	}
-	now = h.until
-	for range probesToHeal {
+	now = h.quarantineEnd
+	for range probesToRecover {
 		require.LessOrEqual(t, h.Slots(8, now), 1)
 		h.Observe(success, now)
 	}
 	require.Equal(t, 8, h.Slots(8, now))
 }
 
-// Guards against states outside the machine: slots always within the worker's, none while quarantined, and a worker
-// that only succeeds from some time on is healthy again.
+// Guards against invalid states: slots always within the worker's number, none while quarantined, and a worker that
+// only succeeds from some time on becomes healthy again.
 func TestHealthAlwaysRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Health
@@ -94,14 +94,14 @@
 			require.True(t, h.State() != Quarantined || n == 0)
 		}
 		for range 20 {
-			now = now.Add(longestPause)
+			now = now.Add(maxQuarantine)
 			h.Observe(success, now)
 		}
 		require.Equal(t, Healthy, h.State())
 	})
 }
 
-// Guards against a leaving, unreported or quarantined worker that is offered to the granters.
+// Guards against offering a leaving, unreported or quarantined worker to the slot allocators.
 func TestUsableSlots(t *testing.T) {
 	w := NewWorker(WorkerSpec{ID: "w", Slots: 8})
 	require.Zero(t, w.UsableSlots(epoch))
@@ -112,7 +112,7 @@
 	}
 	require.Zero(t, w.UsableSlots(epoch))
 	w.ObserveStatus(8, 0, epoch)
-	require.Equal(t, 1, w.UsableSlots(epoch), "a new process is probed without waiting for the end of the pause")
+	require.Equal(t, 1, w.UsableSlots(epoch), "a new process is probed without waiting for the end of the quarantine")
 	w.UpdateSpec(WorkerSpec{ID: "w", Slots: 8, Leaving: true})
 	require.Zero(t, w.UsableSlots(epoch))
 }
@@ -133,28 +133,28 @@
 	require.InDelta(t, 4, a.Speed()/b.Speed(), 0.01)
 }
 
-// Guards against a suspect that keeps few slots for ever because nothing is started on it.
+// Guards against a suspect that keeps few slots permanently because nothing is started on it.
 func TestSuspicionEnds(t *testing.T) {
 	var h Health
 	h.Observe(failure, epoch)
 	h.Observe(failure, epoch)
 	require.Equal(t, Suspect, h.State())
-	require.True(t, h.Tick(epoch.Add(suspicionLasts)))
+	require.True(t, h.Tick(epoch.Add(suspicionTTL)))
 	require.Equal(t, Healthy, h.State())
 }
 
-// Guards against each entry VM losing as many tasks as the first one, and against a warning that suffices for a
+// Guards against each entry VM losing as many tasks as the first one, and against a warning that alone causes a
 // quarantine.
-func TestWarning(t *testing.T) {
+func TestWarningFromOtherVM(t *testing.T) {
 	var h Health
 	require.True(t, h.Warn(epoch))
 	require.Equal(t, 2, h.Slots(8, epoch))
 	h.Observe(failure, epoch)
 	h.Observe(failure, epoch)
 	require.Equal(t, Quarantined, h.State())
-	var good Health
-	good.Warn(epoch)
-	good.Observe(success, epoch)
-	require.Equal(t, Healthy, good.State())
-	require.False(t, h.Warn(epoch), "a quarantine is not shortened")
+	var recovered Health
+	recovered.Warn(epoch)
+	recovered.Observe(success, epoch)
+	require.Equal(t, Healthy, recovered.State())
+	require.False(t, h.Warn(epoch), "a warning must not change a quarantine")
 }
--- a/machine/incarnation.go
+++ b/machine/incarnation.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Incarnation identifies one run of a process. It is random, so that no store has to be asked at process start;
-// at 1,500 starts a day a collision within a month has a probability below 1e-9.
+// Incarnation identifies one run of a process. It is random, so no store has to be contacted at process start; at
+// 1,500 starts a day a collision within a month has a probability below 1e-9.
 type Incarnation uint64
 
 const incarnationDigits = 16
 
-// NewIncarnation returns a fresh incarnation, never zero.
+// NewIncarnation returns a new incarnation, never zero.
 func NewIncarnation() Incarnation {
 	for {
 		var b [8]byte
@@ -38,7 +38,7 @@
 	return b
 }
 
-// ParseIncarnation reads the form that String writes.
+// ParseIncarnation parses the form that String returns.
 func ParseIncarnation(s string) (Incarnation, error) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != incarnationDigits || v == 0 {
--- a/machine/listing.go
+++ b/machine/listing.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Resources is what a task needs of a worker, or what a worker has.
+// Resources is the amount that a task needs of a worker, or that a worker has.
 type Resources struct {
 	CPUMillis int
 	MemoryMB  int
@@ -14,38 +14,38 @@
 	return need.CPUMillis <= r.CPUMillis && need.MemoryMB <= r.MemoryMB && need.GPUs <= r.GPUs
 }
 
-// Plus returns the sum of both.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{CPUMillis: r.CPUMillis + o.CPUMillis, MemoryMB: r.MemoryMB + o.MemoryMB, GPUs: r.GPUs + o.GPUs}
 }
 
-// Minus returns what is left of r without o.
+// Minus returns r less o.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{CPUMillis: r.CPUMillis - o.CPUMillis, MemoryMB: r.MemoryMB - o.MemoryMB, GPUs: r.GPUs - o.GPUs}
 }
 
-// Listing is an entry of the platform's list of workers: one life of a worker.
+// Listing is an entry of the platform's list of workers. It describes one incarnation of a worker.
 type Listing struct {
 	Worker  string
 	Backend string
 	Address string
 	Zone    string
-	// Born is the start of this life; a worker that starts again under its name has another one.
+	// Born is the start time of this incarnation; a worker that restarts under the same name has another one.
 	Born     int64
 	Capacity Resources
 	Labels   []string
 	Draining bool
 }
 
-// CanHold reports whether the worker can run a task of that size while it is idle.
+// CanHold reports whether the idle worker can run a task of that size that requires the label, if any.
 func (l Listing) CanHold(need Resources, label string) bool {
 	return l.Capacity.Fits(need) && (label == "" || l.HasLabel(label))
 }
 
-// HasLabel reports whether the worker has a label.
+// HasLabel reports whether the worker has the label.
 func (l Listing) HasLabel(label string) bool { return slices.Contains(l.Labels, label) }
 
-// Equal reports whether two entries say the same.
+// Equal reports whether both entries have the same content.
 func (l Listing) Equal(o Listing) bool {
 	return l.Worker == o.Worker && l.Backend == o.Backend && l.Address == o.Address && l.Zone == o.Zone &&
 		l.Born == o.Born && l.Capacity == o.Capacity && l.Draining == o.Draining && slices.Equal(l.Labels, o.Labels)
--- a/machine/member.go
+++ b/machine/member.go
@@ -1,6 +1,6 @@
 package machine
 
-// Member is a process that takes part, and where its peers reach it.
+// Member is a process of the deployment and the address at which its peers reach it.
 type Member struct {
 	VM          string      `json:"vm"`
 	Incarnation Incarnation `json:"incarnation"`
@@ -9,5 +9,5 @@
 	CPUMillis   int         `json:"cpu_millis"`
 }
 
-// ID names the process among all that ever run on its VM.
+// ID identifies the process among all that ever run on its VM.
 func (m Member) ID() string { return m.VM + "/" + m.Incarnation.String() }
--- a/machine/worker.go
+++ b/machine/worker.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// WorkerID names a worker.
+// WorkerID identifies a worker.
 type WorkerID string
 
-// WorkerSpec is what the platform's list says of a worker.
+// WorkerSpec is a worker's entry in the platform's list.
 type WorkerSpec struct {
 	ID      WorkerID
 	Address string
@@ -21,10 +21,10 @@
 }
 
 const (
-	// speedWeight is the least share of a new observation in the moving average of a worker's speed; the first
-	// observations count more, so that the average is soon near.
+	// speedWeight is the minimum weight of a new observation in the moving average of a worker's speed; the first
+	// observations weigh more, so that the average converges quickly.
 	speedWeight = 0.02
-	// speedLimit bounds the learned speed in both directions.
+	// speedLimit bounds the learned speed and its inverse.
 	speedLimit = 16
 )
 
@@ -39,8 +39,8 @@
 	runs     int
 	health   Health
 	busy     int
-	// clock is the worker's monotonic clock at local time clockAt. Local times are compared with each other only, so
-	// that steps of the wall clock have no effect.
+	// clock is the worker's monotonic clock at local time clockAt. Local times are compared only with each other, so
+	// steps of the wall clock have no effect.
 	clock   time.Duration
 	clockAt time.Time
 }
@@ -57,7 +57,7 @@
 	return w.spec
 }
 
-// UpdateSpec applies a new entry of the list. Leaving is never taken back.
+// UpdateSpec applies a new entry of the list. Leaving is never reverted.
 func (w *Worker) UpdateSpec(spec WorkerSpec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +70,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.incarnation != 0 && w.incarnation != inc {
-		// The failures of the process before say nothing about this one, but a quarantine ends with probes.
+		// The failures of the previous process are no evidence about this one, but a quarantine still ends with probes.
 		w.health.restart()
 	}
 	w.incarnation = inc
@@ -91,21 +91,21 @@
 	return w.clock + t.Sub(w.clockAt), !w.clockAt.IsZero()
 }
 
-// ObserveBusy records the number of slots in use by the last status report.
+// ObserveBusy records the number of slots in use according to the last status report.
 func (w *Worker) ObserveBusy(busy int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.busy = busy
 }
 
-// Busy returns the number of slots in use by the last status report.
+// Busy returns the number of slots in use according to the last status report.
 func (w *Worker) Busy() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.busy
 }
 
-// ObserveRun compares the run time of a task with what a worker of average speed takes for its kind.
+// ObserveRun updates the speed with the run time of a task and the run time expected on a worker of average speed.
 func (w *Worker) ObserveRun(run, expected time.Duration) {
 	if run <= 0 || expected <= 0 {
 		return
@@ -126,35 +126,37 @@
 	return math.Exp(w.logSpeed)
 }
 
-// shiftSpeed moves the logarithm of the speed.
+// shiftSpeed adds to the logarithm of the speed.
 func (w *Worker) shiftSpeed(by float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.logSpeed += by
 }
 
-// Observe takes over the end of a start and reports whether the worker's health has changed.
+// Observe applies the outcome of a start and reports whether the worker's health has changed.
 func (w *Worker) Observe(e Evidence, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.health.Observe(e, now)
 }
 
-// Retract withdraws failures that have turned out to be the fault of a job.
+// Retract withdraws failures that turned out to be caused by a job, and reports whether the worker's health has
+// changed.
 func (w *Worker) Retract(failures int, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.health.Retract(failures, now)
 }
 
-// Warn takes over that another entry VM has quarantined an incarnation of the worker.
+// Warn records that another entry VM has quarantined an incarnation of the worker, and reports whether the worker's
+// health has changed.
 func (w *Worker) Warn(inc Incarnation, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.incarnation == inc && w.health.Warn(now)
 }
 
-// HealthAt returns the health at now.
+// HealthAt returns the health state at now.
 func (w *Worker) HealthAt(now time.Time) HealthState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,8 +164,8 @@
 	return w.health.State()
 }
 
-// UsableSlots returns the number of slots that may be granted at now: none of a worker that is leaving, quarantined
-// or has not reported its status.
+// UsableSlots returns the number of slots that may be granted at now: none if the worker is leaving, quarantined or
+// has not reported its status.
 func (w *Worker) UsableSlots(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,8 +176,8 @@
 	return w.health.Slots(w.spec.Slots, now)
 }
 
-// Accepts reports whether a slot of the worker may serve another task at now without being granted anew. The slots of
-// workers that are not healthy go back to the granter, which grants fewer.
+// Accepts reports whether a slot of the worker may serve another task at now without a new grant. The slots of
+// workers that are not healthy are returned to the allocator, which grants fewer.
 func (w *Worker) Accepts(now time.Time) bool {
 	return w.UsableSlots(now) > 0 && w.HealthAt(now) == Healthy
 }
