--- a/entry/capacity.go
+++ b/entry/capacity.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// capacityAge is how long a sum over all workers is used.
-	capacityAge = 100 * time.Millisecond
-	// congestedAfter is the wait of the oldest task from which on no more slots are counted on than are held.
-	congestedAfter = 50 * time.Millisecond
+	// capacityCacheTTL is how long a computed capacity is reused.
+	capacityCacheTTL = 100 * time.Millisecond
+	// congestionWait is the wait of the oldest task above which a service's capacity is limited to the slots already
+	// held.
+	congestionWait = 50 * time.Millisecond
 )
 
-// capacityCache keeps the capacity of each service. mu guards all fields.
+// capacityCache caches the capacity of each service. mu guards all fields.
 type capacityCache struct {
 	mu       sync.Mutex
 	services map[string]capacity
@@ -28,13 +29,13 @@
 	workers int
 }
 
-// capacity returns the slots that this VM can count on for a service, and the number of its workers.
+// capacity returns the slots that this VM can count on for a service, weighted by speed, and the number of its workers.
 func (d *Daemon) capacity(service string) (float64, int) {
 	now := d.o.Now()
 	c := &d.capacities
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if v, ok := c.services[service]; ok && now.Sub(v.at) < capacityAge {
+	if v, ok := c.services[service]; ok && now.Sub(v.at) < capacityCacheTTL {
 		return v.slots, v.workers
 	}
 	workers, slots, speed := d.fleet.Capacity(service, now)
@@ -49,48 +50,48 @@
 	return share, workers
 }
 
-// share returns the part of a service's capacity that this VM can count on. While its tasks wait, that is what it
-// holds, since the granters divide the slots by the waiting times of the VMs; an equal part would be too much for a VM
-// with less demand than the others. Otherwise it is what it holds and what is free, but at least an equal part.
+// share returns the part of a service's capacity that this VM can count on. While its tasks wait, that is the slots it
+// holds: the allocators divide slots by the waiting times of the VMs, so an equal part would be too much for a VM with
+// less demand than the others. Otherwise it is the held and free slots, but at least an equal part.
 func (d *Daemon) share(service string, perSlot, total float64, now time.Time) float64 {
-	l, ok := d.dispatcher.Lane(service)
+	sched, ok := d.dispatcher.Lane(service)
 	if !ok {
 		return 0
 	}
-	v := l.View()
+	v := sched.View()
 	held := float64(v.Idle+v.Busy) * perSlot
-	if l.Waited(now) > congestedAfter && held > 0 {
+	if sched.Waited(now) > congestionWait && held > 0 {
 		return held
 	}
 	st := d.slots.service(service)
-	free := float64(st.granter.Free()+st.planner.Free(now)) * perSlot
+	free := float64(st.allocator.Free()+st.planner.Free(now)) * perSlot
 	return dispatch.ShareOfCapacity(total, len(d.domain.Live()), held+free)
 }
 
-// outgrown tells the granter of a worker that a slot there is held by long work now.
-func (s *slotDirectory) outgrown(service string, worker machine.WorkerID) {
-	st, granter := s.service(service), s.Granter(worker)
-	if granter == s.d.o.VM.ID {
-		st.granter.Outgrow(granter, worker, s.d.o.Now())
+// taskReclassified reports to the allocator of a worker that a task running there has been reclassified as long.
+func (s *slotBroker) taskReclassified(service string, worker machine.WorkerID) {
+	st, allocator := s.service(service), s.Granter(worker)
+	if allocator == s.d.o.VM.ID {
+		st.allocator.Outgrow(allocator, worker, s.d.o.Now())
 		return
 	}
-	if s.placement != nil || granter == "" {
+	if s.placement != nil || allocator == "" {
 		return
 	}
-	for _, l := range s.d.dispatcher.Lanes() {
-		if l.Service().Name() == service {
-			s.reportTo(st, l, granter)
+	for _, sched := range s.d.dispatcher.Lanes() {
+		if sched.Service().Name() == service {
+			s.reportHoldingsTo(st, sched, allocator)
 		}
 	}
 }
 
-// reportTo sends one granter what is held of its workers.
-func (s *slotDirectory) reportTo(st *serviceSlots, l *dispatch.Lane, granter string) {
+// reportHoldingsTo reports to one allocator the slots held on its workers.
+func (s *slotBroker) reportHoldingsTo(st *serviceSlots, sched *dispatch.Lane, allocator string) {
 	var held []zone.Held
-	for _, h := range zoneHeld(l.Held()) {
-		if s.Granter(h.Worker) == granter {
+	for _, h := range zoneHeld(sched.Held()) {
+		if s.Granter(h.Worker) == allocator {
 			held = append(held, h)
 		}
 	}
-	s.sendReport(st, granter, held, st.planner.Received(granter), false)
+	s.sendReport(st, allocator, held, st.planner.Received(allocator), false)
 }
--- a/entry/claimappend.go
+++ b/entry/claimappend.go
@@ -9,8 +9,8 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// appendLoop appends what waits whenever no append is in flight and the budget allows one. Claims that arrive
-// meanwhile form the next batch, so the window grows with the log's latency and is zero for an idle delegate.
+// appendLoop appends pending claims whenever no append is in flight and the budget allows one. Claims that arrive
+// meanwhile form the next batch, so the batching window grows with the log's latency and is zero for an idle delegate.
 func (c *claimDelegate) appendLoop(ctx context.Context) {
 	for {
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// takeBatch removes the oldest claims that still wait.
+// takeBatch removes the oldest unresolved claims from the queue.
 func (c *claimDelegate) takeBatch() []*claimWaiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +56,7 @@
 			break
 		}
 		taken++
-		if !w.ended {
+		if !w.resolved {
 			batch = append(batch, w)
 		}
 	}
@@ -64,20 +64,20 @@
 	return batch
 }
 
-// appendBatch appends until the batch is seen in the stream, an append succeeds or nobody waits any more. A repeated
-// batch changes nothing, since each of its keys is bound by the first one.
+// appendBatch retries until the batch is seen in the stream, an append succeeds or no caller is waiting. A repeated
+// batch has no effect, because its first copy binds every key.
 func (c *claimDelegate) appendBatch(ctx context.Context, waiters []*claimWaiter) {
 	if len(waiters) == 0 {
 		return
 	}
-	b, landed := c.newBatch(waiters)
+	b, seen := c.newBatch(waiters)
 	data, err := encodeBatch(b)
 	if err != nil {
-		c.o.Logger.Error("encode claims", "error", err)
+		c.o.Logger.Error("failed to encode claims", "error", err)
 		return
 	}
 	var backoff platform.Backoff
-	for c.anyWaits(waiters) {
+	for c.anyWaiting(waiters) {
 		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
 		_, err := c.o.Log.Append(attempt, claimStream, data)
 		cancel()
@@ -86,7 +86,7 @@
 		}
 		c.countError()
 		select {
-		case <-landed:
+		case <-seen:
 			return
 		case <-time.After(backoff.Next()):
 		case <-ctx.Done():
@@ -107,15 +107,15 @@
 		b.Claims = append(b.Claims, w.claim)
 	}
 	c.inflight = b.ID
-	c.landed = make(chan struct{})
-	return b, c.landed
+	c.inflightSeen = make(chan struct{})
+	return b, c.inflightSeen
 }
 
-func (c *claimDelegate) anyWaits(waiters []*claimWaiter) bool {
+func (c *claimDelegate) anyWaiting(waiters []*claimWaiter) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range waiters {
-		if !w.ended {
+		if !w.resolved {
 			return true
 		}
 	}
--- a/entry/claimcodec.go
+++ b/entry/claimcodec.go
@@ -31,7 +31,7 @@
 	return json.Marshal(r)
 }
 
-// decodeBatch reads a record. Claims that name no valid key or job id are left out by every reader alike.
+// decodeBatch decodes a record. Every reader skips claims without a valid key or job id.
 func decodeBatch(data []byte) (contract.ClaimBatch, error) {
 	var r batchRecord
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -18,29 +18,29 @@
 
 const (
 	claimStream = "claims"
-	// claimTimeout bounds the wait for the decision on a claim. It leaves a caller's call of three seconds time for
-	// the refusal.
+	// claimTimeout bounds the wait for the decision on a claim. It leaves time to send the refusal within a caller's
+	// call timeout of three seconds.
 	claimTimeout = time.Second
-	// outageTimeout bounds the wait while the log cannot be read, so that callers learn of an outage soon.
+	// outageTimeout bounds the wait while the log cannot be read, so that callers are refused early in an outage.
 	outageTimeout = 250 * time.Millisecond
-	// appendTimeout bounds one append; a slower one is looked for in the stream.
+	// appendTimeout bounds one append. After a timeout the batch may still appear in the stream.
 	appendTimeout = 700 * time.Millisecond
 	// barrierTimeout bounds the read that brings a lookup up to date.
 	barrierTimeout = 300 * time.Millisecond
 	claimReadWait  = time.Second
 	claimPageLimit = 256
-	// maxWaitingClaims bounds the memory for claims that wait; more are refused.
+	// maxWaitingClaims bounds the memory for waiting claims. Claims beyond it are refused.
 	maxWaitingClaims = 8192
-	// delegateIdle is how long a process that is not the delegate keeps reading after its last use.
-	delegateIdle = time.Minute
+	// delegateIdleTimeout is how long a process that is not the delegate keeps reading after its last use.
+	delegateIdleTimeout = time.Minute
 )
 
-// claimWaiter is a claim whose decision is awaited. done receives one value.
+// claimWaiter is a claim that waits for its decision. done receives one value.
 type claimWaiter struct {
 	claim contract.Claim
 	done  chan claimReply
-	// ended is guarded by the delegate's mu.
-	ended bool
+	// resolved is set when the claim is decided or abandoned. It is guarded by the delegate's mu.
+	resolved bool
 }
 
 type claimReply struct {
@@ -48,7 +48,7 @@
 	err error
 }
 
-// claimDelegateOptions are the parts of a claim delegate.
+// claimDelegateOptions are the dependencies of a claim delegate.
 type claimDelegateOptions struct {
 	Self    machine.Incarnation
 	Log     platform.Log
@@ -58,33 +58,34 @@
 	Metrics metrics.Registry
 }
 
-// claimDelegate claims keys on the log for its failure domain: it reads the stream of claims and appends batches. Two
-// delegates at once are safe, since the stream decides. mu guards the fields below it; the table has its own locks.
+// claimDelegate claims idempotency keys on the log for its failure domain: it reads the stream of claims and appends
+// batches. Two concurrent delegates are safe, because the order of the stream decides. mu guards the fields below it;
+// the table has its own locks.
 type claimDelegate struct {
 	o     claimDelegateOptions
 	table *contract.ClaimTable
 	wake  chan struct{}
 
-	// barriers numbers the reads on behalf of lookups. The holder of the token in reading reads and guards
-	// barrierRead, the number of the last read that came to the end of the stream.
+	// barriers numbers the reads made for lookups. reading is a semaphore of one; its holder performs the read and
+	// guards lastBarrier, the number of the last read that reached the end of the stream.
 	barriers    atomic.Uint64
 	reading     chan struct{}
-	barrierRead uint64
-
-	mu       sync.Mutex
-	closed   bool
-	cancel   context.CancelFunc
-	done     chan struct{}
-	lastUse  time.Time
-	pending  []*claimWaiter
-	waiting  map[contract.CallerKey][]*claimWaiter
-	waiters  int
-	caughtUp chan struct{} // closed while the stream was read to its end since the start
-	failing  bool
-	batches  uint64
-	inflight string
-	landed   chan struct{} // closed when the batch in flight is seen in the stream
-	newest   time.Time
+	lastBarrier uint64
+
+	mu           sync.Mutex
+	closed       bool
+	cancel       context.CancelFunc
+	done         chan struct{}
+	lastUse      time.Time
+	pending      []*claimWaiter
+	waiting      map[contract.CallerKey][]*claimWaiter
+	waiters      int
+	caughtUp     chan struct{} // closed once the stream has been read to its end since start
+	failing      bool
+	batches      uint64
+	inflight     string
+	inflightSeen chan struct{} // closed when the batch in flight is seen in the stream
+	newestRecord time.Time
 }
 
 func newClaimDelegate(o claimDelegateOptions) *claimDelegate {
@@ -94,7 +95,7 @@
 	}
 }
 
-// start begins to read the stream, if that is not done already.
+// start starts reading the stream, unless it is running already.
 func (c *claimDelegate) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,7 @@
 	}(c.done)
 }
 
-// stop ends reading. The bindings stay for the next start.
+// stop stops reading. The bindings are kept for the next start.
 func (c *claimDelegate) stop() {
 	c.mu.Lock()
 	cancel, done := c.cancel, c.done
@@ -127,7 +128,7 @@
 	}
 }
 
-// close ends reading for good.
+// close stops reading permanently.
 func (c *claimDelegate) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -135,24 +136,24 @@
 	c.stop()
 }
 
-// elected is called regularly with the current choice of delegate.
-func (c *claimDelegate) elected(self bool) {
+// updateElection is called periodically with the result of the delegate election.
+func (c *claimDelegate) updateElection(self bool) {
 	if self {
 		c.start()
 	}
 	c.mu.Lock()
-	idle := c.cancel != nil && c.o.Now().Sub(c.lastUse) > delegateIdle
+	idle := c.cancel != nil && c.o.Now().Sub(c.lastUse) > delegateIdleTimeout
 	c.mu.Unlock()
 	if idle {
 		c.stop()
 	}
 }
 
-// expire drops bindings that have served their time. The log's clock decides, as it does for claims; if the own clock
-// lies behind it, that one keeps more.
+// expire drops expired bindings. The log's clock decides, as it does for claims. If the local clock is behind the
+// log's, it is used instead and bindings are kept longer.
 func (c *claimDelegate) expire() {
 	c.mu.Lock()
-	now := c.newest
+	now := c.newestRecord
 	c.mu.Unlock()
 	if own := c.o.Now(); own.Before(now) {
 		now = own
@@ -160,8 +161,8 @@
 	c.table.Expire(now)
 }
 
-// claim returns the id that holds the key after claiming it for the given one. The error is of type
-// fault.Unavailable when the decision stays open, so that the claim may still win later.
+// claim claims the key and returns the job id that the key is bound to. It returns fault.Unavailable while the claim is
+// undecided; the claim may still win later.
 func (c *claimDelegate) claim(ctx context.Context, cl contract.Claim) (contract.JobID, error) {
 	c.start()
 	if id, bound, _ := c.table.Lookup(cl.Key); bound {
@@ -205,10 +206,10 @@
 func (c *claimDelegate) abandon(w *claimWaiter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w.ended {
+	if w.resolved {
 		return
 	}
-	w.ended = true
+	w.resolved = true
 	c.waiters--
 	kept := c.waiting[w.claim.Key][:0]
 	for _, x := range c.waiting[w.claim.Key] {
@@ -223,9 +224,9 @@
 	}
 }
 
-// find looks a key up without claiming it. While the log cannot be reached, a key that this process neither knows
-// nor is claiming is reported as fault.Overloaded: not claimed through this process.
-func (c *claimDelegate) find(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
+// lookup looks up a key without claiming it. While the log is unreachable, a key that this process neither knows nor is
+// claiming is reported as fault.Overloaded with reasonNotClaimed.
+func (c *claimDelegate) lookup(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	c.start()
 	if id, bound, _ := c.table.Lookup(k); bound {
 		return id, true, nil
@@ -237,31 +238,33 @@
 		return id, true, nil
 	case !complete:
 		return contract.JobID{}, false, fault.Unavailable.New("records that may hold a claim of key %s are missing", k)
-	case c.claiming(k):
+	case c.isClaiming(k):
 		return contract.JobID{}, false, fault.Unavailable.New("key %s is being claimed", k)
 	case err == nil:
 		return contract.JobID{}, false, nil
-	case c.read():
-		return contract.JobID{}, false, fault.With(fault.Overloaded, reasonNotClaimed, "key %s was not claimed here", k)
+	case c.isCaughtUp():
+		return contract.JobID{}, false, fault.With(fault.Overloaded, reasonNotClaimed,
+			"key %s was not claimed through this entry VM", k)
 	default:
-		return contract.JobID{}, false, fault.With(fault.Unavailable, reasonNotRead, "the log was not read here: %s", err)
+		return contract.JobID{}, false, fault.With(fault.Unavailable, reasonNotRead,
+			"this entry VM has not read the claims: %s", err)
 	}
 }
 
 const (
-	// reasonNotClaimed says that this process was up to date before the outage and knows no claim of the key.
+	// reasonNotClaimed reports that this process was up to date before the outage and has no claim of the key.
 	reasonNotClaimed = "not claimed here"
-	// reasonNotRead says that this process has not claimed the key, but knows nothing of others' claims.
+	// reasonNotRead reports that this process has not claimed the key, but has not read the claims of others.
 	reasonNotRead = "not read here"
 )
 
-// barrier reads to the present end of the stream. Lookups that arrive during a read share the next one, since the
-// connections to the log are few.
+// barrier reads to the current end of the stream. Lookups that arrive during a read share the next one, because there
+// are few connections to the log.
 func (c *claimDelegate) barrier(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
 	if c.isFailing() {
-		return fault.Unavailable.New("the log cannot be read")
+		return fault.Unavailable.New("the log is not readable")
 	}
 	c.mu.Lock()
 	caughtUp := c.caughtUp
@@ -269,17 +272,17 @@
 	select {
 	case <-caughtUp:
 	case <-ctx.Done():
-		return fault.Unavailable.New("the stream of claims has not been read yet")
+		return fault.Unavailable.New("the stream of claims has not been read to its end yet")
 	}
 	arrived := c.barriers.Load()
 	select {
 	case c.reading <- struct{}{}:
 		defer func() { <-c.reading }()
 	case <-ctx.Done():
-		return fault.Unavailable.New("too many lookups wait for the log")
+		return fault.Unavailable.New("too many lookups are waiting for the log")
 	}
-	if c.barrierRead > arrived {
-		// A read that began after this lookup has come to the end of the stream.
+	if c.lastBarrier > arrived {
+		// A read that began after this lookup has reached the end of the stream.
 		return nil
 	}
 	number := c.barriers.Add(1)
@@ -290,7 +293,7 @@
 		}
 		c.applyPage(page)
 		if c.table.Next() >= page.Next {
-			c.barrierRead = number
+			c.lastBarrier = number
 			return nil
 		}
 	}
@@ -302,8 +305,8 @@
 	return c.failing
 }
 
-// read reports whether the stream was read to its end since the start.
-func (c *claimDelegate) read() bool {
+// isCaughtUp reports whether the stream has been read to its end since start.
+func (c *claimDelegate) isCaughtUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
@@ -314,14 +317,14 @@
 	}
 }
 
-// claiming reports whether a claim of the key waits for its decision.
-func (c *claimDelegate) claiming(k contract.CallerKey) bool {
+// isClaiming reports whether a claim of the key waits for its decision.
+func (c *claimDelegate) isClaiming(k contract.CallerKey) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.waiting[k]) > 0
 }
 
-// tail reads the stream from its oldest needed record on.
+// tail follows the stream, beginning with the oldest record that is needed.
 func (c *claimDelegate) tail(ctx context.Context) {
 	var backoff platform.Backoff
 	for ctx.Err() == nil {
@@ -351,7 +354,7 @@
 		}
 	}
 	wait := time.Duration(0)
-	if c.read() {
+	if c.isCaughtUp() {
 		wait = claimReadWait
 	}
 	page, err := c.o.Log.Read(ctx, claimStream, c.table.Next(), claimPageLimit, wait)
@@ -375,43 +378,43 @@
 	}
 }
 
-// applyPage may run concurrently for overlapping pages: the table ignores what was applied before.
+// applyPage may run concurrently for overlapping pages: the table ignores records that were already applied.
 func (c *claimDelegate) applyPage(page platform.Page) {
 	c.table.Truncated(page.First)
 	for _, r := range page.Records {
 		b, err := decodeBatch(r.Data)
 		if err != nil {
-			// Every reader skips a malformed record alike.
-			c.o.Logger.Warn("malformed record", "stream", claimStream, "offset", r.Offset, "error", err)
+			// Every reader skips malformed records.
+			c.o.Logger.Warn("skipping malformed record", "stream", claimStream, "offset", r.Offset, "error", err)
 		}
 		c.resolve(b.ID, r.Time, c.table.Apply(r.Offset, r.Time, b))
 	}
 }
 
-// resolve answers the waiters that the decisions concern.
+// resolve completes the waiters that the decisions refer to.
 func (c *claimDelegate) resolve(batch string, at time.Time, decisions []contract.ClaimDecision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.newest = at
+	c.newestRecord = at
 	if batch != "" && batch == c.inflight {
 		c.inflight = ""
-		close(c.landed)
+		close(c.inflightSeen)
 	}
 	for _, d := range decisions {
-		var open []*claimWaiter
+		var undecided []*claimWaiter
 		for _, w := range c.waiting[d.Claim.Key] {
 			if d.Result != contract.ClaimBound && w.claim.Job != d.Claim.Job {
-				open = append(open, w)
+				undecided = append(undecided, w)
 				continue
 			}
-			w.ended = true
+			w.resolved = true
 			c.waiters--
 			w.done <- claimReply{id: d.Winner, err: claimError(d)}
 		}
-		if len(open) == 0 {
+		if len(undecided) == 0 {
 			delete(c.waiting, d.Claim.Key)
 		} else {
-			c.waiting[d.Claim.Key] = open
+			c.waiting[d.Claim.Key] = undecided
 		}
 	}
 }
@@ -419,7 +422,7 @@
 func claimError(d contract.ClaimDecision) error {
 	switch d.Result {
 	case contract.ClaimTooOld:
-		// The key may have had a job whose answer is no longer kept, so that this proves nothing about execution.
+		// The key may have had a job whose answer has been dropped, so this proves nothing about execution.
 		return fault.With(fault.Expired, "key too old", "key %s is older than %s", d.Claim.Key, contract.KeyValidity)
 	case contract.ClaimTooNew:
 		return fault.With(fault.Invalid, "key from the future", "key %s was created more than %s ahead of the log's clock",
--- a/entry/claims_rapid_test.go
+++ b/entry/claims_rapid_test.go
@@ -16,7 +16,7 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// The seed is fixed, so that every run returns the same verdict; -rapid.seed explores others.
+// The seed is fixed to make runs deterministic; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
 // claimStep is one step of a random run: a claim, a fault, a pause or the replacement of a delegate.
@@ -37,7 +37,7 @@
 	}), 1, 80).Draw(t, "steps")
 }
 
-// runClaims carries out the steps and returns the ids that claims of each key received.
+// runClaims executes the steps and returns the job ids returned by the claims of each key.
 func runClaims(t *testing.T, steps []claimStep) map[string]map[contract.JobID]bool {
 	l := newFakeLog()
 	won := make(map[string]map[contract.JobID]bool)
@@ -55,9 +55,9 @@
 		case 0:
 			l.set(func(l *fakeLog) { l.down = !l.down })
 		case 1:
-			l.set(func(l *fakeLog) { l.lose = s.key })
+			l.set(func(l *fakeLog) { l.loseReplies = s.key })
 		case 2:
-			l.set(func(l *fakeLog) { l.holdDown = s.key })
+			l.set(func(l *fakeLog) { l.failAppends = s.key })
 		case 3:
 			l.set(func(l *fakeLog) { l.delay = s.pause })
 		case 4:
@@ -95,8 +95,8 @@
 	return won
 }
 
-// Guards against two ids for one key under outages, lost replies, failed and slow appends, truncation and replaced
-// delegates, with three delegates at the same time.
+// Guards against two job ids for one key under outages, lost replies, failed and slow appends, truncation and replaced
+// delegates, with three concurrent delegates.
 func TestOneWinnerUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawClaimSteps(rt)
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -36,29 +36,29 @@
 	}
 }
 
-// Guards against a second append or a wrong winner when the reply of an append is lost after it took effect.
+// Guards against a second append or a wrong winner when the reply to an append is lost after it took effect.
 func TestClaimSurvivesLostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
 		c := startDelegate(t, l, 1)
 		synctest.Wait()
-		l.set(func(l *fakeLog) { l.lose = 1 })
+		l.set(func(l *fakeLog) { l.loseReplies = 1 })
 		cl := testClaim("k", 1, 1)
 		id, err := c.claim(t.Context(), cl)
 		require.NoError(t, err)
 		require.Equal(t, cl.Job, id)
 		time.Sleep(time.Minute)
-		require.Equal(t, 1, l.appends, "the batch is recognised in the stream by its id")
+		require.Equal(t, 1, l.appends, "the batch is recognised in the stream by its id and not appended again")
 	})
 }
 
-// Guards against two winners when members disagree on the delegate, also when a delegate's append is slow and lost.
+// Guards against two winners when members disagree on the delegate, also when the reply to a delegate's append is lost.
 func TestTwoDelegatesAgreeOnWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
 		a, b := startDelegate(t, l, 1), startDelegate(t, l, 2)
 		for n := range 50 {
-			l.set(func(l *fakeLog) { l.lose = n % 3 })
+			l.set(func(l *fakeLog) { l.loseReplies = n % 3 })
 			first := testClaim(fmt.Sprint(n), 1, uint64(n+1))
 			second := first
 			second.Job.Home = 2
@@ -78,8 +78,8 @@
 	})
 }
 
-// Guards against a claim that waits for ever in an outage, and against an append that is taken for undone: the
-// decision stays open, and the late append still wins.
+// Guards against a claim that blocks forever in an outage, and against treating a slow append as failed: the claim
+// stays undecided, and the late append still wins.
 func TestClaimInOutageStaysOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -91,14 +91,14 @@
 		require.Equal(t, fault.Unavailable.FullName(), fault.Code(err))
 		require.False(t, fault.IsProvenNotStarted(err))
 		time.Sleep(10 * time.Second)
-		id, found, err := c.find(t.Context(), cl.Key)
+		id, found, err := c.lookup(t.Context(), cl.Key)
 		require.NoError(t, err)
 		require.True(t, found)
 		require.Equal(t, cl.Job, id)
 	})
 }
 
-// Guards against a burst after an outage of an hour: calls to the log must stay spaced, and claims work again.
+// Guards against a burst of calls to the log after an outage of an hour, and against claims that fail after recovery.
 func TestDelegateRecoversFromLongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -113,17 +113,17 @@
 		}
 		time.Sleep(time.Hour)
 		l.set(func(l *fakeLog) { l.down = false; l.appends = 0 })
-		time.Sleep(2 * maxRecovery)
+		time.Sleep(2 * maxReaderBackoff)
 		cl := testClaim("after", 1, 5000)
 		id, err := c.claim(t.Context(), cl)
 		require.NoError(t, err)
 		require.Equal(t, cl.Job, id)
-		require.Equal(t, 1, l.appends, "claims that nobody waits for are not appended")
+		require.Equal(t, 1, l.appends, "claims without a waiting caller are not appended")
 	})
 }
 
-// maxRecovery is the longest pause of a reader after a failed call.
-const maxRecovery = time.Second
+// maxReaderBackoff is the longest delay of a reader after a failed call.
+const maxReaderBackoff = time.Second
 
 // Guards against a delegate that answers before it has read the stream: the earlier claim must win.
 func TestNewDelegateReadsBeforeItAnswers(t *testing.T) {
@@ -142,7 +142,7 @@
 	})
 }
 
-// Guards against a second run of a key whose claim was in a dropped part of the stream.
+// Guards against a second run of a key whose claim was in a truncated part of the stream.
 func TestTruncatedStreamLeavesKeyUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -164,7 +164,7 @@
 	})
 }
 
-// Guards against "not claimed" for a key whose append is in flight while the log cannot be read.
+// Guards against reporting a key as not claimed while its append is in flight and the log cannot be read.
 func TestLookupInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -172,25 +172,25 @@
 		synctest.Wait()
 		l.set(func(l *fakeLog) { l.down = true })
 		cl := testClaim("k", 1, 1)
-		_, _, err := c.find(t.Context(), cl.Key)
+		_, _, err := c.lookup(t.Context(), cl.Key)
 		require.Equal(t, reasonNotClaimed, fault.Reason(err))
 		go func() { _, _ = c.claim(t.Context(), cl) }()
 		synctest.Wait()
-		_, _, err = c.find(t.Context(), cl.Key)
+		_, _, err = c.lookup(t.Context(), cl.Key)
 		require.Error(t, err)
 		require.NotEqual(t, reasonNotClaimed, fault.Reason(err))
 		time.Sleep(2 * claimTimeout)
 		l.set(func(l *fakeLog) { l.down = false; l.delay = 500 * time.Millisecond })
-		time.Sleep(2 * maxRecovery)
+		time.Sleep(2 * maxReaderBackoff)
 		go func() { _, _ = c.claim(t.Context(), cl) }()
 		synctest.Wait()
-		_, _, err = c.find(t.Context(), cl.Key)
-		require.Error(t, err, "an append in flight leaves the key open while the log can be read")
+		_, _, err = c.lookup(t.Context(), cl.Key)
+		require.Error(t, err, "a key with an append in flight is undecided even while the log can be read")
 		time.Sleep(2 * claimTimeout)
 	})
 }
 
-// Guards against a burst of lookups that takes all connections to the log: they share reads.
+// Guards against a burst of lookups that uses up all connections to the log: lookups share reads.
 func TestLookupsShareReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -200,18 +200,18 @@
 		var lookups sync.WaitGroup
 		for n := range 200 {
 			lookups.Go(func() {
-				_, found, err := c.find(t.Context(), testClaim(fmt.Sprint(n), 1, 1).Key)
+				_, found, err := c.lookup(t.Context(), testClaim(fmt.Sprint(n), 1, 1).Key)
 				if err != nil || found {
 					t.Errorf("lookup %d: %t %v", n, found, err)
 				}
 			})
 		}
 		lookups.Wait()
-		require.LessOrEqual(t, l.reads, 4, "one read in progress, one for all that wait, and those of the reader")
+		require.LessOrEqual(t, l.reads, 4, "one read in progress, one for all waiting lookups, and those of the tail loop")
 	})
 }
 
-// FuzzClaimRecord guards against a panic, and against claims without an identity.
+// FuzzClaimRecord guards against panics and against claims without a key or job id.
 func FuzzClaimRecord(f *testing.F) {
 	f.Add([]byte(`{"batch":"b","claims":[{"customer":"c","text":"t","created_unix_ms":1,"job":"j-1-00c0ffee00c0ffee-17"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -221,7 +221,7 @@
 		}
 		for _, c := range b.Claims {
 			if c.Job.Home == 0 || c.Key.Customer == "" || c.Key.Text == "" {
-				t.Fatalf("claim without identity: %+v", c)
+				t.Fatalf("claim without key or job id: %+v", c)
 			}
 		}
 		again, err := encodeBatch(b)
--- a/entry/cluster_test.go
+++ b/entry/cluster_test.go
@@ -33,11 +33,11 @@
 	longKind    = "Long"
 
 	slotsPerWorker = 8
-	// oneWay is the delay of a message between entry VMs of a failure domain.
-	oneWay = 250 * time.Microsecond
+	// oneWayDelay is the delay of a message between entry VMs of a failure domain.
+	oneWayDelay = 250 * time.Microsecond
 )
 
-// testNetwork connects entry VMs in memory, with a delay, inside a synctest bubble.
+// testNetwork connects entry VMs in memory with a delay, for use in a synctest bubble.
 type testNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*testListener
@@ -76,14 +76,14 @@
 	return l
 }
 
-func (n *testNetwork) severed(from, to string) bool {
+func (n *testNetwork) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut != nil && n.cut(from, to)
 }
 
-// sever cuts the connections for which cut returns true; nil heals all.
-func (n *testNetwork) sever(cut func(from, to string) bool) {
+// setCut cuts the connections for which cut returns true; nil restores all.
+func (n *testNetwork) setCut(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
@@ -93,10 +93,10 @@
 	n.mu.Lock()
 	l := n.listeners[to]
 	n.mu.Unlock()
-	if l == nil || n.severed(from, to) {
+	if l == nil || n.isCut(from, to) {
 		return nil, net.ErrClosed
 	}
-	cut := func() bool { return n.severed(from, to) }
+	cut := func() bool { return n.isCut(from, to) }
 	there, back := newTestPipe(cut), newTestPipe(cut)
 	select {
 	case l.conns <- &testConn{in: there, out: back, address: testAddr(from)}:
@@ -140,7 +140,7 @@
 		return 0, net.ErrClosed
 	}
 	if !p.cut() {
-		p.chunks = append(p.chunks, testChunk{data: append([]byte(nil), b...), at: time.Now().Add(oneWay)})
+		p.chunks = append(p.chunks, testChunk{data: append([]byte(nil), b...), at: time.Now().Add(oneWayDelay)})
 		p.signal()
 	}
 	return len(b), nil
@@ -195,7 +195,7 @@
 func (c *testConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *testConn) SetWriteDeadline(time.Time) error { return nil }
 
-// testWorkers stand for all workers: a start beyond a worker's slots is rejected.
+// testWorkers simulates all workers: a start beyond a worker's slots is rejected.
 type testWorkers struct {
 	cluster *testCluster
 
@@ -209,23 +209,23 @@
 	started  map[contract.TaskID]int
 }
 
-// payload tells a stand-in worker how long a task runs and when it was submitted.
+// payload encodes the run time of a task and its time of submission for a simulated worker.
 func payload(run time.Duration, submitted time.Time) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(run))
 	return binary.BigEndian.AppendUint64(b, uint64(submitted.UnixNano()))
 }
 
-// testHome starts the tasks of one home.
-type testHome struct {
+// testStarter starts the tasks of one home on the simulated workers.
+type testStarter struct {
 	workers *testWorkers
 	vm      string
 }
 
-func (h testHome) Start(ctx context.Context, r dispatch.StartRequest) (dispatch.StartReply, error) {
-	w := h.workers
+func (s testStarter) Start(ctx context.Context, r dispatch.StartRequest) (dispatch.StartReply, error) {
+	w := s.workers
 	run := time.Duration(binary.BigEndian.Uint64(r.Ticket.Payload))
 	submitted := time.Unix(0, int64(binary.BigEndian.Uint64(r.Ticket.Payload[8:])))
-	time.Sleep(oneWay)
+	time.Sleep(oneWayDelay)
 	w.mu.Lock()
 	if w.busy[r.Worker] >= w.cluster.slots {
 		w.mu.Unlock()
@@ -233,13 +233,13 @@
 	}
 	w.busy[r.Worker]++
 	w.started[r.Ticket.Task]++
-	waited := time.Since(submitted) - oneWay
+	waited := time.Since(submitted) - oneWayDelay
 	if r.Ticket.Kind == longKind {
 		w.long[r.Worker]++
 		w.maxLong[r.Worker] = max(w.maxLong[r.Worker], w.long[r.Worker])
 		w.longWait = append(w.longWait, waited)
 	} else {
-		w.waits[h.vm] = append(w.waits[h.vm], waited)
+		w.waits[s.vm] = append(w.waits[s.vm], waited)
 	}
 	w.mu.Unlock()
 	run = time.Duration(float64(run) / w.cluster.speed(r.Worker))
@@ -254,15 +254,15 @@
 	}
 	w.busyTime += run
 	w.mu.Unlock()
-	time.Sleep(oneWay)
+	time.Sleep(oneWayDelay)
 	return dispatch.StartReply{Outcome: contract.OutcomeDone, RunTime: run}, nil
 }
 
-func (h testHome) Resolve(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
-	return dispatch.StartReply{}, fault.Unavailable.New("not asked in this test")
+func (s testStarter) Resolve(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
+	return dispatch.StartReply{}, fault.Unavailable.New("not supported by the simulated workers")
 }
 
-// testCluster is a failure domain of entry VMs without callers' front ends and HTTP.
+// testCluster is a failure domain of entry VMs without caller endpoints and HTTP.
 type testCluster struct {
 	t       testing.TB
 	net     *testNetwork
@@ -275,10 +275,10 @@
 
 	mu      sync.Mutex
 	members map[string]*testMember
-	// registries are those of all processes, ended ones included.
+	// registries are those of all processes, including stopped ones.
 	registries []metrics.Registry
-	// before are the counts at the start of the load.
-	before map[string]int64
+	// baseline holds the counters at the start of the load.
+	baseline map[string]int64
 }
 
 type testMember struct {
@@ -310,11 +310,11 @@
 	for i := range vms {
 		c.start(c.vms[i].ID)
 	}
-	// The members hear each other and take their workers over.
+	// Wait until the members have exchanged heartbeats and allocated the workers.
 	time.Sleep(2 * time.Second)
-	c.before = make(map[string]int64)
-	for name, n := range c.messages() {
-		c.before[name] = n
+	c.baseline = make(map[string]int64)
+	for name, n := range c.counterDeltas() {
+		c.baseline[name] = n
 	}
 	return c
 }
@@ -326,7 +326,7 @@
 	return 1
 }
 
-// start runs a new process on an entry VM.
+// start starts a new process on an entry VM.
 func (c *testCluster) start(id string) {
 	inc := machine.NewIncarnation()
 	m := &testMember{metrics: metrics.NewRegistry()}
@@ -338,9 +338,9 @@
 	})
 	require.NoError(c.t, err)
 	m.Daemon = d
-	// The link to workers is replaced by a model.
+	// Replace the link to the workers by the simulation.
 	d.dispatcher = dispatch.New(dispatch.Options{
-		Table: d.table, Starter: testHome{workers: c.workers, vm: id}, Broker: d.slots, Self: id,
+		Table: d.table, Starter: testStarter{workers: c.workers, vm: id}, Broker: d.slots, Self: id,
 		Placement: d.slots.placement, Fleet: d.fleet, Now: time.Now, Logger: d.o.Logger, Metrics: m.metrics,
 		Timeline: d.timeline,
 	})
@@ -392,7 +392,7 @@
 	return out
 }
 
-// stop ends the process on an entry VM without any notice.
+// stop stops the process on an entry VM without notice.
 func (c *testCluster) stop(id string) {
 	c.mu.Lock()
 	m := c.members[id]
@@ -411,7 +411,7 @@
 	}
 }
 
-// submit queues one job.
+// submit submits one job.
 func (c *testCluster) submit(id, kind string, runs ...time.Duration) {
 	m := c.member(id)
 	spec := contract.JobSpec{ID: m.table.Mint(1)[0], Service: testService, Customer: "customer"}
@@ -421,9 +421,9 @@
 	require.NoError(c.t, m.dispatcher.Submit(spec))
 }
 
-// offer submits jobs of short tasks with exponential gaps and run times of 50 to 150 ms until the time is over. load
-// is the rate of tasks by their mean run time, in slots.
-func (c *testCluster) offer(id string, load float64, tasks int, during time.Duration, seed uint64) {
+// offerLoad submits jobs of short tasks with exponential interarrival times and run times of 50 to 150 ms for the given
+// duration. load is the offered load in slots: the rate of tasks times their mean run time.
+func (c *testCluster) offerLoad(id string, load float64, tasks int, during time.Duration, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	gap := 0.1 * float64(tasks) / load
 	end := time.Now().Add(during)
@@ -447,10 +447,10 @@
 	for _, r := range c.registries {
 		n += metrics.GetOrRegisterCounter(name, r).Count()
 	}
-	return n - c.before[name]
+	return n - c.baseline[name]
 }
 
-// summary are the figures of a run.
+// summary holds the results of a run.
 type summary struct {
 	tasks           int64
 	wasted          float64
@@ -487,8 +487,8 @@
 	return s
 }
 
-// messages counts the messages of slot allocation for a log line.
-func (c *testCluster) messages() map[string]int64 {
+// counterDeltas returns the counters of slot allocation since the start of the load, for a log line.
+func (c *testCluster) counterDeltas() map[string]int64 {
 	counts := make(map[string]int64)
 	for _, name := range []string{
 		metric.DemandsSent, metric.GrantsIssued, metric.GrantsUnused, metric.ReturnsSent, metric.RecallsSent,
--- a/entry/configapply.go
+++ b/entry/configapply.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// configKey is hashed with VM ids to choose who publishes snapshots and who tells other failure domains.
+	// configKey is hashed with VM ids to choose the member that publishes snapshots and reports the position to other
+	// failure domains.
 	configKey      = "config"
 	configInterval = time.Second
 )
 
-// applyConfiguration puts a document into effect. The services of the settings are in effect unless the document
-// replaces them; what a document no longer names keeps its last declaration for the tasks that it has.
+// applyConfiguration puts a document into effect. The services of the settings apply unless the document overrides
+// them. A service that is removed from the document keeps its last declaration for its remaining tasks.
 func (d *Daemon) applyConfiguration(v contract.ConfigView) {
 	declared := make(map[string][]backend.KindSpec)
 	for _, s := range d.o.Services {
@@ -29,25 +30,27 @@
 	}
 	services, findings := config.Services(v.Document)
 	if len(findings) > 0 {
-		// Accepted documents compile, unless another version of the program has accepted this one.
-		d.o.Logger.Error("configured services do not compile", "revision", v.Revision, "finding", findings[0].Reason)
+		// Accepted documents compile, unless one was accepted by another version of the program.
+		d.o.Logger.Error("failed to compile configured services", "revision", v.Revision, "finding", findings[0].Reason)
 	}
 	for _, s := range services {
 		declared[s.Name()] = s.Kinds()
 	}
 	for name, kinds := range declared {
-		d.dispatcher.Configure(name, overridden(name, kinds, v.Document.Kinds))
+		d.dispatcher.Configure(name, withOverrides(name, kinds, v.Document.Kinds))
 	}
 	if err := d.dispatcher.ApplyCustomers(config.Customers(v.Revision, v.Document)); err != nil {
-		d.o.Logger.Error("customers not applied", "revision", v.Revision, "error", err)
+		d.o.Logger.Error("failed to apply customers", "revision", v.Revision, "error", err)
 	}
 	d.slots.reassign()
 	d.timeline.Record(timeline.Event{Kind: timeline.ConfigApplied, Detail: v.Origin.ID, Count: int64(v.Revision)})
 	d.o.Logger.Info("configuration in effect", "revision", v.Revision, "change", v.Origin.ID, "author", v.Origin.Author)
 }
 
-// overridden returns the declarations of a service's kinds with the overrides of the document.
-func overridden(service string, kinds []backend.KindSpec, overrides map[string]contract.KindConfig) []backend.KindSpec {
+// withOverrides returns the declarations of a service's kinds with the overrides of the document.
+func withOverrides(
+	service string, kinds []backend.KindSpec, overrides map[string]contract.KindConfig,
+) []backend.KindSpec {
 	out := append([]backend.KindSpec(nil), kinds...)
 	for i := range out {
 		o, ok := overrides[service+"/"+out[i].Name]
@@ -73,24 +76,24 @@
 	return out
 }
 
-func (d *Daemon) configDecided(v contract.ConfigVerdict) {
+func (d *Daemon) recordVerdict(v contract.ConfigVerdict) {
 	if !v.Accepted {
 		d.timeline.Record(timeline.Event{Kind: timeline.ConfigRejected, Detail: v.ID + ": " + v.Reason})
 		d.o.Logger.Info("configuration change rejected", "change", v.ID, "author", v.Author, "reason", v.Reason)
 	}
 }
 
-// configured refuses jobs while this process does not know which configuration is in effect. Nothing has run under
-// an id of this process before it knew one.
-func (d *Daemon) configured() error {
+// requireConfiguration refuses jobs until this process has a configuration in effect. The refusal proves that a job has
+// not run: before then nothing has run under an id of this process.
+func (d *Daemon) requireConfiguration() error {
 	if !d.configs.inEffect().Known {
-		return fault.With(fault.Overloaded, "no configuration", "neither the log nor a peer has shown the configuration")
+		return fault.With(fault.Overloaded, "no configuration", "no configuration received from the log or a peer")
 	}
 	return nil
 }
 
-// heardConfiguration sends records to a peer that is behind.
-func (d *Daemon) heardConfiguration(vm string, offset uint64) {
+// sendMissingConfiguration sends records to a peer that is behind.
+func (d *Daemon) sendMissingConfiguration(vm string, offset uint64) {
 	var others []machine.EntryVM
 	for _, m := range d.domain.Live() {
 		if m.ID != vm {
@@ -98,8 +101,8 @@
 		}
 	}
 	chosen, ok := zone.Choose(configKey+"/"+vm, others)
-	foreign := d.peers.domainOf(vm) != d.o.Domain
-	if !d.configs.helps(vm, offset, foreign || (ok && chosen.ID == d.o.VM.ID)) {
+	otherDomain := d.peers.domainOf(vm) != d.o.Domain
+	if !d.configs.shouldSend(vm, offset, otherDomain || (ok && chosen.ID == d.o.VM.ID)) {
 		return
 	}
 	if m := d.configs.recordsFor(offset); m != nil {
@@ -107,9 +110,9 @@
 	}
 }
 
-// tendConfiguration publishes snapshots when it is this VM's turn and lets one VM of each other failure domain know
-// this one's position, so that a failure domain that is cut off from the platform is found.
-func (d *Daemon) tendConfiguration(ctx context.Context) {
+// maintainConfiguration publishes snapshots when it is this VM's turn. The chosen member also reports its position to
+// one VM of each other failure domain, so that a failure domain that is cut off from the platform is detected.
+func (d *Daemon) maintainConfiguration(ctx context.Context) {
 	domains := d.peers.otherDomains()
 	all := append([]machine.EntryVM(nil), d.domain.Live()...)
 	for _, vms := range domains {
--- a/entry/configmembers_test.go
+++ b/entry/configmembers_test.go
@@ -19,7 +19,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// fakeList is a list in memory.
+// fakeList is an in-memory VM list.
 type fakeList struct {
 	mu  sync.Mutex
 	vms []platform.VM
@@ -62,12 +62,13 @@
 	return d
 }
 
-// Guards against members that keep an old revision: a VM that is cut off from the platform, a failure domain that is,
-// and one that starts in that state receive the revision from peers. Before that, the last one refuses jobs as not run.
+// Guards against members that keep an old revision: a VM or a failure domain that is cut off from the platform, and a
+// VM that starts in such a failure domain, must receive the revision from peers. A VM without any peer refuses jobs as
+// not run.
 func TestCutOffMembersReceiveConfiguration(t *testing.T) {
-	log, cut, list := newFakeLog(), newFakeLog(), &fakeList{}
-	cut.set(func(l *fakeLog) { l.down = true })
-	alone := startMember(t, &fakeList{}, cut, "alone", 1)
+	log, downLog, list := newFakeLog(), newFakeLog(), &fakeList{}
+	downLog.set(func(l *fakeLog) { l.down = true })
+	alone := startMember(t, &fakeList{}, downLog, "alone", 1)
 	id, err := alone.Create(t.Context(), 1)
 	require.NoError(t, err)
 	_, err = alone.Submit(t.Context(), contract.Submission{Ref: contract.JobRef{ID: id[0]}, Service: "s"}, 0)
@@ -76,7 +77,7 @@
 	require.False(t, alone.Readiness().Ready)
 
 	members := []*Daemon{
-		startMember(t, list, log, "a", 1), startMember(t, list, cut, "b", 1), startMember(t, list, cut, "c", 2),
+		startMember(t, list, log, "a", 1), startMember(t, list, downLog, "b", 1), startMember(t, list, downLog, "c", 2),
 	}
 	for n := range 3 {
 		publishWeight(t, log, n, uint64(n))
@@ -86,7 +87,7 @@
 				20*time.Millisecond, fmt.Sprintf("%s has revision %d", d.o.VM.ID, d.configs.state.View().Revision))
 		}
 	}
-	members = append(members, startMember(t, list, cut, "d", 2))
+	members = append(members, startMember(t, list, downLog, "d", 2))
 	require.Eventually(t, func() bool { return members[3].configs.state.View().Revision == 3 }, 20*time.Second,
 		20*time.Millisecond)
 }
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -21,22 +21,22 @@
 	configStream    = "config"
 	configReadWait  = 2 * time.Second
 	configPageLimit = 64
-	// configStartWait bounds the first read, so that a start in an outage goes on to ask the peers.
+	// configStartWait bounds the first read, so that a process that starts in an outage proceeds to ask its peers.
 	configStartWait = time.Second
-	// keptConfigRecords is the number of records kept for peers that are behind; a peer that lacks more receives a
+	// maxKeptConfigRecords is the number of records kept for peers that are behind. A peer that lacks more receives a
 	// snapshot.
-	keptConfigRecords = 32
-	// snapshotRankDelay is the time that a member waits for each one that ranks before it, longer than a publication
-	// takes to be read by all.
+	maxKeptConfigRecords = 32
+	// snapshotRankDelay is how long a member waits for each member ranked before it. It is longer than it takes all
+	// members to read a published snapshot.
 	snapshotRankDelay = 3 * time.Second
 	snapshotTimeout   = 2 * time.Second
-	// peerState stands for the offset of a snapshot that a peer has made for another one and that is not on the log.
-	peerState = math.MaxUint64
-	// laggingFor is the time after which any member, not only the chosen one, helps a peer that is behind.
-	laggingFor = time.Second
+	// peerSnapshotOffset marks a snapshot that a peer has created for another peer and that is not on the log.
+	peerSnapshotOffset = math.MaxUint64
+	// lagTolerance is how long a peer may be behind before members other than the chosen one send it records.
+	lagTolerance = time.Second
 )
 
-// configReplicaOptions are the parts of a configuration carrier.
+// configReplicaOptions are the dependencies of a configuration replica.
 type configReplicaOptions struct {
 	Log     platform.Log
 	Budget  *platform.Budget
@@ -45,26 +45,26 @@
 	Metrics metrics.Registry
 	// Apply puts a document into effect.
 	Apply func(contract.ConfigView)
-	// Verdict is told of each decided change.
+	// Verdict is called for each decided change.
 	Verdict func(contract.ConfigVerdict)
 }
 
-// configReplica brings the records of the stream "config" from the log and from peers to the state and puts accepted
-// revisions into effect. applying puts applications in order and is taken before mu, which guards the fields below it.
+// configReplica applies the records of the stream "config", from the log and from peers, and puts accepted revisions
+// into effect. applying serialises applications and is acquired before mu, which guards the fields below it.
 type configReplica struct {
 	o     configReplicaOptions
 	state *contract.ConfigState
 
 	applying sync.Mutex
-	// effect is the view in effect, nil until there is one.
-	effect atomic.Pointer[contract.ConfigView]
+	// active is the configuration in effect, nil until one is known.
+	active atomic.Pointer[contract.ConfigView]
 
-	mu       sync.Mutex
-	kept     []keptRecord
-	first    uint64 // oldest offset that the log keeps, as of the last read
-	read     bool   // the last read succeeded
-	dueSince time.Time
-	lagging  map[string]time.Time // peers that are behind, since when
+	mu         sync.Mutex
+	kept       []keptRecord
+	oldest     uint64 // oldest offset kept by the log, as of the last read
+	lastReadOK bool   // whether the last read succeeded
+	dueSince   time.Time
+	lagging    map[string]time.Time // peers that are behind, and since when
 }
 
 type keptRecord struct {
@@ -76,8 +76,8 @@
 	return &configReplica{o: o, state: contract.NewConfigState(config.Check), lagging: make(map[string]time.Time)}
 }
 
-// begin reads what the log shows now, for a limited time.
-func (c *configReplica) begin(ctx context.Context) {
+// initialRead reads the current content of the log, for a limited time.
+func (c *configReplica) initialRead(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, configStartWait)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// tail follows the log until ctx ends.
+// tail follows the log until ctx is cancelled.
 func (c *configReplica) tail(ctx context.Context) {
 	var backoff platform.Backoff
 	for ctx.Err() == nil {
@@ -103,13 +103,13 @@
 	}
 }
 
-// readOnce reads a page and reports whether there is more to read at once.
+// readOnce reads a page and reports whether more records are available.
 func (c *configReplica) readOnce(ctx context.Context, wait time.Duration) (bool, error) {
 	page, err := c.o.Log.Read(ctx, configStream, c.state.Position(), configPageLimit, wait)
 	c.mu.Lock()
-	c.read = err == nil
+	c.lastReadOK = err == nil
 	if err == nil {
-		c.first = page.First
+		c.oldest = page.First
 	}
 	c.mu.Unlock()
 	if err != nil {
@@ -119,17 +119,17 @@
 	defer c.applying.Unlock()
 	c.state.Bounds(page.First)
 	for _, r := range page.Records {
-		c.take(r.Offset, r.Time, r.Data)
+		c.applyRecord(r.Offset, r.Time, r.Data)
 	}
-	c.putIntoEffect()
+	c.activate()
 	return c.state.Position() < page.Next, nil
 }
 
-// take applies one record. It expects c.applying to be held.
-func (c *configReplica) take(offset uint64, at time.Time, data []byte) {
+// applyRecord applies one record. c.applying must be held.
+func (c *configReplica) applyRecord(offset uint64, at time.Time, data []byte) {
 	record, err := config.DecodeRecord(data)
 	if err != nil {
-		c.o.Logger.Warn("malformed record", "stream", configStream, "offset", offset, "error", err)
+		c.o.Logger.Warn("skipping malformed record", "stream", configStream, "offset", offset, "error", err)
 	}
 	before := c.state.View().Next
 	c.report(c.state.Apply(offset, at, record))
@@ -139,7 +139,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kept = append(c.kept, keptRecord{offset: offset, data: append([]byte(nil), data...)})
-	if over := len(c.kept) - keptConfigRecords; over > 0 {
+	if over := len(c.kept) - maxKeptConfigRecords; over > 0 {
 		c.kept = append([]keptRecord(nil), c.kept[over:]...)
 	}
 }
@@ -153,29 +153,29 @@
 	}
 }
 
-// putIntoEffect expects c.applying to be held.
-func (c *configReplica) putIntoEffect() {
+// activate puts the current revision into effect. c.applying must be held.
+func (c *configReplica) activate() {
 	v := c.state.View()
 	if !v.Known {
 		return
 	}
-	if old := c.effect.Load(); old == nil || old.Revision != v.Revision {
+	if old := c.active.Load(); old == nil || old.Revision != v.Revision {
 		c.o.Apply(v)
 		metrics.GetOrRegisterGauge(metric.ConfigRevision, c.o.Metrics).Update(int64(v.Revision))
 	}
-	c.effect.Store(&v)
+	c.active.Store(&v)
 }
 
-// inEffect returns the configuration in effect. It takes no lock, since every submission asks.
+// inEffect returns the configuration in effect. It takes no lock, because every submission calls it.
 func (c *configReplica) inEffect() contract.ConfigView {
-	if v := c.effect.Load(); v != nil {
+	if v := c.active.Load(); v != nil {
 		return *v
 	}
 	return contract.ConfigView{}
 }
 
-// position returns what heartbeats carry: the number of records applied plus one and the revision in effect. The
-// number is 0, which asks for a snapshot, while no state is known or the log has dropped records that the state lacks.
+// position returns the values for heartbeats: the number of applied records plus one, and the revision in effect. The
+// number is 0, which requests a snapshot, while no state is known or the log has dropped records that the state lacks.
 func (c *configReplica) position() (offset, revision uint64) {
 	v := c.state.View()
 	if !v.Known || c.state.Gapped() {
@@ -184,8 +184,9 @@
 	return v.Next + 1, v.Revision
 }
 
-// fromPeer takes records over from a peer. Records without gap follow the own state, a snapshot replaces an older one.
-func (c *configReplica) fromPeer(m *api.ConfigRecords) {
+// applyFromPeer applies records from a peer. Records without a gap extend the local state; a snapshot replaces an older
+// state.
+func (c *configReplica) applyFromPeer(m *api.ConfigRecords) {
 	c.applying.Lock()
 	defer c.applying.Unlock()
 	for _, r := range m.GetRecords() {
@@ -193,7 +194,7 @@
 		if err != nil {
 			continue
 		}
-		if r.GetOffset() == peerState {
+		if r.GetOffset() == peerSnapshotOffset {
 			if record.Snapshot != nil {
 				verdicts, _ := c.state.Adopt(*record.Snapshot)
 				c.report(verdicts)
@@ -201,13 +202,13 @@
 			continue
 		}
 		if !c.state.Gapped() {
-			c.take(r.GetOffset(), c.o.Now(), r.GetData())
+			c.applyRecord(r.GetOffset(), c.o.Now(), r.GetData())
 		}
 	}
-	c.putIntoEffect()
+	c.activate()
 }
 
-// recordsFor returns what a peer lacks that has reported a position, or nil if it is not behind.
+// recordsFor returns the records that a peer at the given position lacks, or nil if it is not behind.
 func (c *configReplica) recordsFor(peer uint64) *api.ConfigRecords {
 	own, _ := c.position()
 	if own <= peer {
@@ -222,10 +223,10 @@
 	}
 	data, err := config.EncodeRecord(contract.ConfigRecord{Snapshot: &snap})
 	if err != nil {
-		c.o.Logger.Error("encode configuration", "error", err)
+		c.o.Logger.Error("failed to encode configuration", "error", err)
 		return nil
 	}
-	return &api.ConfigRecords{Records: []*api.ConfigRecord{{Offset: peerState, Data: data}}}
+	return &api.ConfigRecords{Records: []*api.ConfigRecord{{Offset: peerSnapshotOffset, Data: data}}}
 }
 
 // keptFrom returns the kept records from a position on, or nil if they do not reach back to it.
@@ -249,9 +250,9 @@
 	return out
 }
 
-// helps decides whether this member sends records to a peer that is behind: the chosen one does at once, the others
-// when the peer stays behind.
-func (c *configReplica) helps(vm string, peer uint64, chosen bool) bool {
+// shouldSend decides whether this member sends records to a peer that is behind. The chosen member does so at once,
+// others only if the peer stays behind.
+func (c *configReplica) shouldSend(vm string, peer uint64, chosen bool) bool {
 	own, _ := c.position()
 	now := c.o.Now()
 	c.mu.Lock()
@@ -265,21 +266,21 @@
 		c.lagging[vm] = now
 		since = now
 	}
-	if !chosen && now.Sub(since) < laggingFor {
+	if !chosen && now.Sub(since) < lagTolerance {
 		return false
 	}
 	c.lagging[vm] = now
 	return true
 }
 
-// publishSnapshot appends the state to the log when that is due; rank is the number of members that do so before this
-// one.
+// publishSnapshot appends a snapshot to the log when one is due. rank is the number of members that are to do so before
+// this one.
 func (c *configReplica) publishSnapshot(ctx context.Context, rank int) {
 	now := c.o.Now()
 	c.mu.Lock()
-	first, read := c.first, c.read
+	oldest, lastReadOK := c.oldest, c.lastReadOK
 	c.mu.Unlock()
-	if !read || !c.state.SnapshotDue(first, now) {
+	if !lastReadOK || !c.state.SnapshotDue(oldest, now) {
 		c.mu.Lock()
 		c.dueSince = time.Time{}
 		c.mu.Unlock()
@@ -291,7 +292,7 @@
 	}
 	wait := c.dueSince.Add(time.Duration(rank) * snapshotRankDelay).Sub(now)
 	if wait <= 0 {
-		// The next attempt, should this one fail, comes after all others had their turn.
+		// If this attempt fails, the next one comes after all other members had their turn.
 		c.dueSince = now.Add(snapshotRankDelay)
 	}
 	c.mu.Unlock()
@@ -308,12 +309,12 @@
 	}
 	data, err := config.EncodeRecord(contract.ConfigRecord{Snapshot: &snap})
 	if err != nil {
-		c.o.Logger.Error("encode configuration", "error", err)
+		c.o.Logger.Error("failed to encode configuration", "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	// A snapshot whose reply was lost is found by the next read, which ends the need for another.
+	// A snapshot whose reply was lost is found by the next read, which makes another one unnecessary.
 	if _, err := c.o.Log.Append(ctx, configStream, data); err != nil {
 		metrics.GetOrRegisterCounter(metric.LogErrors, c.o.Metrics).Inc(1)
 	}
--- a/entry/configs_test.go
+++ b/entry/configs_test.go
@@ -17,7 +17,7 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-func newTestCarrier(l platform.Log) *configReplica {
+func newTestReplica(l platform.Log) *configReplica {
 	return newConfigReplica(configReplicaOptions{
 		Log: l, Budget: platform.NewBudget(75), Now: time.Now, Metrics: metrics.NewRegistry(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -25,13 +25,13 @@
 	})
 }
 
-// followLog starts a carrier that reads the log until the test ends.
+// followLog starts a replica that reads the log until the test ends.
 func followLog(t *testing.T, l platform.Log) *configReplica {
-	c := newTestCarrier(l)
+	c := newTestReplica(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		c.begin(ctx)
+		c.initialRead(ctx)
 		c.tail(ctx)
 		close(done)
 	}()
@@ -54,8 +54,8 @@
 	require.NoError(t, err)
 }
 
-// Guards against readers that disagree after a race, and against a revision that is not in force at once.
-func TestOperatorsRace(t *testing.T) {
+// Guards against replicas that disagree after concurrent changes, and against a revision that is not applied at once.
+func TestConcurrentConfigChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
 		a, b := followLog(t, l), followLog(t, l)
@@ -68,9 +68,9 @@
 	})
 }
 
-// Guards against a fresh VM that reports ready during an outage without any peer, or goes back after it: it takes the
-// state of a peer, ignores a stale one, and goes on from the log.
-func TestFreshVMDuringOutage(t *testing.T) {
+// Guards against a new VM that reports ready in an outage without a peer, or that goes back to an older revision
+// afterwards: it adopts a peer's state, ignores a stale one, and continues from the log.
+func TestNewVMDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
 		old := followLog(t, l)
@@ -86,12 +86,12 @@
 		time.Sleep(10 * time.Second)
 		require.False(t, fresh.state.View().Known)
 		position, _ := fresh.position()
-		fresh.fromPeer(old.recordsFor(position))
+		fresh.applyFromPeer(old.recordsFor(position))
 		require.Equal(t, old.state.View(), fresh.state.View())
-		peer := newTestCarrier(l)
+		peer := newTestReplica(l)
 		peer.state.Adopt(stale)
 		require.Nil(t, peer.recordsFor(42))
-		fresh.fromPeer(peer.recordsFor(0))
+		fresh.applyFromPeer(peer.recordsFor(0))
 		require.Equal(t, uint64(41), fresh.state.View().Revision)
 		l.set(func(l *fakeLog) { l.down = false })
 		publishWeight(t, l, 41, 41)
@@ -100,29 +100,29 @@
 	})
 }
 
-// Guards against a member that stays behind: it receives exactly the records that it lacks.
+// Guards against a member that stays behind: it must receive exactly the records that it lacks.
 func TestPeerBehindReceivesRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
-		ahead, behind := followLog(t, l), newTestCarrier(l)
+		ahead, behind := followLog(t, l), newTestReplica(l)
 		publishWeight(t, l, 0, 0)
 		synctest.Wait()
-		behind.begin(t.Context())
+		behind.initialRead(t.Context())
 		publishWeight(t, l, 1, 1)
 		synctest.Wait()
 		position, _ := behind.position()
-		require.True(t, ahead.helps("behind", position, true))
+		require.True(t, ahead.shouldSend("behind", position, true))
 		records := ahead.recordsFor(position)
 		require.Len(t, records.GetRecords(), 1)
-		behind.fromPeer(records)
+		behind.applyFromPeer(records)
 		require.Equal(t, ahead.state.View(), behind.state.View())
 		position, _ = behind.position()
-		require.False(t, ahead.helps("behind", position, true))
+		require.False(t, ahead.shouldSend("behind", position, true))
 	})
 }
 
-// Guards against a needed record that expires: with a retention of 100 records a fresh VM always finds the present
-// revision on the log, and members whose turn comes later do not publish as well.
+// Guards against loss of a needed record by truncation: with a retention of 100 records, a new VM always finds the
+// current revision on the log. Members of later rank must not publish additional snapshots.
 func TestSnapshotsPrecedeExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -144,17 +144,17 @@
 					m.publishSnapshot(t.Context(), rank)
 				}
 			}
-			fresh := newTestCarrier(l)
-			fresh.begin(t.Context())
+			fresh := newTestReplica(l)
+			fresh.initialRead(t.Context())
 			require.Equal(t, members[0].state.View(), fresh.state.View())
 			require.Equal(t, revision, fresh.state.View().Revision)
 		}
 		snapshots := uint64(len(l.streams[configStream])) - revision
-		require.LessOrEqual(t, snapshots, uint64(40), "one snapshot for each time that it was due")
+		require.LessOrEqual(t, snapshots, uint64(40), "more snapshots than times that one was due")
 	})
 }
 
-// Guards against a snapshot that is never published when the first in rank is unable to.
+// Guards against a snapshot that is never published because the first member in rank cannot publish it.
 func TestLaterRankPublishesSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -168,6 +168,6 @@
 		}
 		synctest.Wait()
 		require.Equal(t, before+1, len(l.streams[configStream]))
-		require.Equal(t, uint64(1), c.state.View().Revision, "a snapshot changes no revision")
+		require.Equal(t, uint64(1), c.state.View().Revision, "a snapshot does not change the revision")
 	})
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -26,16 +26,16 @@
 	heartbeatInterval = 500 * time.Millisecond
 	listInterval      = 500 * time.Millisecond
 	statusInterval    = time.Second
-	laneInterval      = 10 * time.Millisecond
+	schedulerInterval = 10 * time.Millisecond
 	expiryInterval    = 10 * time.Second
 	speedInterval     = 2 * time.Second
 )
 
-// Options are the settings and parts of a daemon. The caller opens the listeners, so that addresses are known
+// Options are the settings and dependencies of a daemon. The caller opens the listeners, so that addresses are known
 // before the daemon starts.
 type Options struct {
 	VM machine.EntryVM
-	// Predecessor is the incarnation that ran in this process before, zero if none.
+	// Predecessor is the previous incarnation of this process, zero if there is none.
 	Predecessor machine.Incarnation
 	Domain      zone.DomainID
 	Region      zone.RegionID
@@ -44,24 +44,25 @@
 	List        platform.VMList
 	Callers     net.Listener
 	Peers       net.Listener
-	// Admin serves operators; nil serves none.
+	// Admin serves the admin endpoints; nil disables them.
 	Admin       net.Listener
 	DialPeer    func(ctx context.Context, address string) (net.Conn, error)
 	Connections int
-	// Events is the size of the timeline's ring; 0 takes the default, a negative number records nothing.
+	// Events is the capacity of the timeline's ring; 0 selects the default, a negative number disables the timeline.
 	Events int
-	// CallerCredentials secure the callers' side; nil serves plain TCP.
+	// CallerCredentials secure connections from callers; nil serves plain TCP.
 	CallerCredentials credentials.TransportCredentials
 	// Policy selects how workers are chosen; empty selects the default.
 	Policy  dispatch.Policy
 	Now     func() time.Time
 	Logger  *slog.Logger
 	Metrics metrics.Registry
-	// OnViolation is told of violated invariants; tests panic.
+	// OnViolation is called for each violated invariant; tests panic.
 	OnViolation func(invariant string)
 }
 
-// Daemon is the process that runs on an entry VM.
+// Daemon is the process on an entry VM: it accepts jobs, dispatches their tasks to workers and exchanges slots, quota
+// and configuration with other entry VMs. It is the home of the jobs that it accepts: the member that answers for them.
 type Daemon struct {
 	o          Options
 	table      *contract.JobTable
@@ -70,25 +71,25 @@
 	workers    *link.Workers
 	dispatcher *dispatch.Dispatcher
 	peers      *peers
-	slots      *slotDirectory
+	slots      *slotBroker
 	quotas     *quotaExchange
 	capacities capacityCache
 	budget     *platform.Budget
 	claims     *claimDelegate
 	configs    *configReplica
-	// inquiries holds a token for each claim that asks other failure domains.
+	// inquiries is a semaphore for the claims that query other failure domains.
 	inquiries chan struct{}
 	clock     *timeline.Clock
 	timeline  *timeline.Ring
 
-	homes     *zone.Homes
-	lease     *zone.AnswerLease
-	handovers *handOvers
-	closures  *closureLog
-	serving   *gate
-	lapse     lapse
-	wasListed atomic.Bool
-	// forwards counts the calls sent to other failure domains.
+	homes         *zone.Homes
+	lease         *zone.AnswerLease
+	handovers     *handOvers
+	tombstones    *tombstoneLog
+	requests      *requestLimiter
+	pauseDetector pauseDetector
+	wasListed     atomic.Bool
+	// forwards counts the calls forwarded to other failure domains.
 	forwards atomic.Uint64
 	fenced   atomic.Bool
 	lost     chan struct{}
@@ -96,13 +97,13 @@
 
 	peerServer *link.PeerServer
 	rpcServer  *rpc.Server
-	operators  operators
+	adminState adminState
 	polls      workerPolls
 	cancel     context.CancelFunc
 	loops      sync.WaitGroup
 }
 
-// New builds a daemon that does not serve yet.
+// New returns a daemon that does not serve yet.
 func New(o Options) (*Daemon, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -127,13 +128,13 @@
 	d := &Daemon{
 		o: o, fleet: machine.NewFleet(), domain: zone.NewFailureDomain(o.Domain, o.VM.ID),
 		table: contract.NewJobTable(o.Domain, o.VM.Incarnation), clock: &timeline.Clock{},
-		homes: zone.NewHomes(), lease: zone.NewAnswerLease(), handovers: newHandOvers(), serving: newGate(maxServed),
-		lost: make(chan struct{}), started: o.Now(),
+		homes: zone.NewHomes(), lease: zone.NewAnswerLease(), handovers: newHandOvers(),
+		requests: newRequestLimiter(maxServed), lost: make(chan struct{}), started: o.Now(),
 	}
 	if o.Predecessor != 0 {
 		d.homes.Ended(o.VM.ID, o.Predecessor, o.Now())
 	}
-	d.closures = newClosureLog(d)
+	d.tombstones = newTombstoneLog(d)
 	d.table.OnCheck(d.onCheck)
 	d.timeline = newTimeline(o, d.clock)
 	workers, err := link.NewWorkers(d.fleet, o.VM.Incarnation, o.Connections, d.clock)
@@ -142,7 +143,7 @@
 	}
 	d.workers = workers
 	d.peers = newPeers(d)
-	d.slots = newSlotDirectory(d)
+	d.slots = newSlotBroker(d)
 	d.quotas = newQuotaExchange(d)
 	d.inquiries = make(chan struct{}, maxKeyInquiries)
 	d.budget = platform.NewBudget(appendBudget)
@@ -154,16 +155,16 @@
 		Placement: d.slots.placement, MayStart: d.mayStart,
 		Fleet: d.fleet, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics, Timeline: d.timeline,
 		Control: workers, Capacity: d.capacity, HealthChanged: d.healthChanged,
-		SlotOutgrown: d.slots.outgrown, DistributedQuotas: true,
+		SlotOutgrown: d.slots.taskReclassified, DistributedQuotas: true,
 	})
 	d.configs = newConfigReplica(configReplicaOptions{
 		Log: o.Log, Budget: d.budget, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics, Apply: d.applyConfiguration,
-		Verdict: d.configDecided,
+		Verdict: d.recordVerdict,
 	})
 	return d, nil
 }
 
-// Start serves callers and peers.
+// Start starts serving callers and peers.
 func (d *Daemon) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -175,13 +176,13 @@
 	d.peerServer = server
 	d.serveOperators()
 	d.refreshList(ctx)
-	d.configs.begin(ctx)
+	d.configs.initialRead(ctx)
 	d.pollWorkers(ctx)
 	d.rpcServer = rpc.Serve(d.o.Callers, d, d.o.Now, d.o.CallerCredentials, d.o.Metrics)
 	d.loop(ctx, heartbeatInterval, func() { d.heartbeat() })
-	d.loop(ctx, delegateInterval, d.electClaims)
+	d.loop(ctx, delegateInterval, d.electClaimDelegate)
 	d.loops.Go(func() { d.configs.tail(ctx) })
-	d.loop(ctx, configInterval, func() { d.tendConfiguration(ctx) })
+	d.loop(ctx, configInterval, func() { d.maintainConfiguration(ctx) })
 	d.loop(ctx, listInterval, func() { d.refreshList(ctx) })
 	d.loop(ctx, statusInterval, func() { d.pollWorkers(ctx) })
 	d.startSlots(ctx)
@@ -189,20 +190,20 @@
 	d.loop(ctx, quotaInterval, d.quotas.tick)
 	d.loop(ctx, expiryInterval, func() { d.table.Expire(d.o.Now()); d.homes.Expire(d.o.Now()) })
 	d.loop(ctx, expiryInterval, d.claims.expire)
-	d.closures.start(ctx)
+	d.tombstones.start(ctx)
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessStarted})
-	d.operators.serving.Store(true)
+	d.adminState.serving.Store(true)
 	d.o.Logger.Info("entry daemon started", "vm", d.o.VM.ID, "incarnation", d.o.VM.Incarnation.String(),
 		"callers", d.o.Callers.Addr().String())
 	return nil
 }
 
-// startSlots runs the housekeeping of lanes and granters.
+// startSlots starts the periodic work of the service schedulers and slot allocators.
 func (d *Daemon) startSlots(ctx context.Context) {
-	d.loop(ctx, laneInterval, func() { d.checkLapse(); d.dispatcher.Tick() })
+	d.loop(ctx, schedulerInterval, func() { d.checkPause(); d.dispatcher.Tick() })
 	if d.slots.placement == nil {
 		d.loop(ctx, slotInterval, d.slots.tick)
-		d.loop(ctx, renewInterval, d.slots.renew)
+		d.loop(ctx, renewInterval, d.slots.renewHoldings)
 	}
 }
 
@@ -222,7 +223,7 @@
 }
 
 func (d *Daemon) waitIdle(ctx context.Context) {
-	t := time.NewTicker(laneInterval)
+	t := time.NewTicker(schedulerInterval)
 	defer t.Stop()
 	for d.table.Unfinished() > 0 {
 		select {
@@ -233,20 +234,20 @@
 	}
 }
 
-// Kill ends everything at once, as a crash does. The jobs of this incarnation are lost.
+// Kill stops the daemon at once, as a crash does. The jobs of this incarnation are lost.
 func (d *Daemon) Kill() {
 	cut, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.peers.close()
 	d.rpcServer.Stop(cut)
-	d.kill()
+	d.shutdown()
 }
 
-// kill ends everything at once.
-func (d *Daemon) kill() {
+// shutdown closes all connections and waits for the goroutines.
+func (d *Daemon) shutdown() {
 	d.cancel()
 	d.loops.Wait()
-	d.closures.wait()
+	d.tombstones.wait()
 	d.claims.close()
 	d.peerServer.Close()
 	d.peers.close()
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,2 +1,2 @@
-// Package entry assembles the entry daemon from its parts.
+// Package entry assembles the daemon that runs on an entry VM from its parts.
 package entry
--- a/entry/domains.go
+++ b/entry/domains.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// listedDomains returns the numbers of the failure domains that the platform's list shows, in order.
+// listedDomains returns the sorted numbers of the failure domains in the platform's list, including this one.
 func (p *peers) listedDomains() []uint16 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/fakelog_test.go
+++ b/entry/fakelog_test.go
@@ -9,25 +9,25 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// fakeLog is a log in memory that works under testing/synctest.
+// fakeLog is an in-memory log that works under testing/synctest.
 type fakeLog struct {
-	mu       sync.Mutex
-	streams  map[string][]platform.Record
-	first    map[string]uint64
-	grown    chan struct{}
-	down     bool
-	lose     int // appends that take effect and fail
-	holdDown int // appends that fail without effect
-	delay    time.Duration
-	appends  int
-	// readDelay is the time of a read that does not wait for a record.
+	mu          sync.Mutex
+	streams     map[string][]platform.Record
+	first       map[string]uint64
+	changed     chan struct{}
+	down        bool
+	loseReplies int // number of appends that take effect but return an error
+	failAppends int // number of appends that fail without effect
+	delay       time.Duration
+	appends     int
+	// readDelay is the duration of a read that does not wait for a record.
 	readDelay time.Duration
 	reads     int
 }
 
 func newFakeLog() *fakeLog {
 	return &fakeLog{
-		streams: make(map[string][]platform.Record), first: make(map[string]uint64), grown: make(chan struct{}),
+		streams: make(map[string][]platform.Record), first: make(map[string]uint64), changed: make(chan struct{}),
 		delay: 4 * time.Millisecond,
 	}
 }
@@ -36,15 +36,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fn(l)
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 func (l *fakeLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	l.mu.Lock()
 	delay := l.delay
 	l.mu.Unlock()
-	// A write that has been sent takes effect even when the sender stops waiting for it.
+	// An append that has been sent takes effect even if the sender stops waiting for it.
 	time.Sleep(delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,17 +52,17 @@
 	if l.down {
 		return 0, fault.Unavailable.New("log is down")
 	}
-	if l.holdDown > 0 {
-		l.holdDown--
+	if l.failAppends > 0 {
+		l.failAppends--
 		return 0, fault.Unavailable.New("append failed")
 	}
 	offset := uint64(len(l.streams[stream]))
 	record := platform.Record{Offset: offset, Time: time.Now(), Data: append([]byte(nil), data...)}
 	l.streams[stream] = append(l.streams[stream], record)
-	close(l.grown)
-	l.grown = make(chan struct{})
-	if l.lose > 0 {
-		l.lose--
+	close(l.changed)
+	l.changed = make(chan struct{})
+	if l.loseReplies > 0 {
+		l.loseReplies--
 		return 0, fault.Unavailable.New("reply lost")
 	}
 	if ctx.Err() != nil {
@@ -103,5 +103,5 @@
 	if from = max(from, p.First); from < p.Next {
 		p.Records = all[from:min(len(all), int(from)+limit)]
 	}
-	return p, l.grown, nil
+	return p, l.changed, nil
 }
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -12,23 +12,23 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// voteTimeout is the time for the reply of a member that is asked about a silent home.
+// voteTimeout bounds the wait for a member's vote on a silent home.
 const voteTimeout = 500 * time.Millisecond
 
-// declare asks the members whether a silent home is gone, following the rule of zone.Homes. Promises are asked for only
-// once enough members find the home silent, since each makes the home end itself.
-func (d *Daemon) declare(ctx context.Context, home zone.Home) zone.HomeState {
+// confirmGone asks the members whether a silent home is gone, by the rule of zone.Homes. Promises are requested only
+// once a quorum finds the home silent, because each promise makes the home stop serving.
+func (d *Daemon) confirmGone(ctx context.Context, home zone.Home) zone.HomeState {
 	members := d.domain.Listed()
 	quorum := zone.DeclareQuorum(len(members) + 1)
-	if d.votes(ctx, home, members, false) < quorum || d.votes(ctx, home, members, true) < quorum {
+	if d.countSilent(ctx, home, members, false) < quorum || d.countSilent(ctx, home, members, true) < quorum {
 		return zone.HomeSilent
 	}
 	d.homes.Ended(home.VM, home.Incarnation, d.o.Now())
 	return zone.HomeGone
 }
 
-// votes counts the members, this one included, that find a home silent.
-func (d *Daemon) votes(ctx context.Context, home zone.Home, members []string, promise bool) int {
+// countSilent counts the members, including this one, that find a home silent.
+func (d *Daemon) countSilent(ctx context.Context, home zone.Home, members []string, promise bool) int {
 	var mu sync.Mutex
 	n := 0
 	count := func(silent bool) {
@@ -55,31 +55,32 @@
 	return n
 }
 
-// refusedBy is told that a member refuses this incarnation.
-func (d *Daemon) refusedBy(vm string) { d.fence("entry VM " + vm + " counts this one as gone") }
+// refusedBy is called when a member refuses this incarnation.
+func (d *Daemon) refusedBy(vm string) { d.fence("entry VM " + vm + " treats this incarnation as gone") }
 
-// fence ends the service of an incarnation that others count as gone. Its jobs are answered as lost by everybody, itself
-// included, and the process has to go on under a new incarnation.
+// fence stops the service of an incarnation that others count as gone. All members, including this one, report its jobs
+// as lost, and the process has to continue under a new incarnation.
 func (d *Daemon) fence(reason string) {
 	if d.fenced.Swap(true) {
 		return
 	}
-	d.o.Logger.Error("this incarnation counts as gone", "vm", d.o.VM.ID, "reason", reason)
+	d.o.Logger.Error("this incarnation is fenced", "vm", d.o.VM.ID, "reason", reason)
 	d.dispatcher.Drain()
 	close(d.lost)
 }
 
-// Lost is closed when the other members count this incarnation as gone. The caller kills the daemon and starts another.
+// Lost returns a channel that is closed when the other members count this incarnation as gone. The caller kills the
+// daemon and starts another.
 func (d *Daemon) Lost() <-chan struct{} { return d.lost }
 
-// onCheck counts the checks of invariants and reports violations.
+// onCheck counts invariant checks and reports violations.
 func (d *Daemon) onCheck(invariant string, holds bool) {
 	metrics.GetOrRegisterCounter(metric.InvariantChecks, d.o.Metrics).Inc(1)
 	if holds {
 		return
 	}
 	metrics.GetOrRegisterCounter(metric.InvariantViolations, d.o.Metrics).Inc(1)
-	d.o.Logger.Error("violated invariant", "invariant", invariant)
+	d.o.Logger.Error("invariant violated", "invariant", invariant)
 	if d.o.OnViolation != nil {
 		d.o.OnViolation(invariant)
 	}
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	// partBytes bounds a part of a hand-over, so that it does not hold up the heartbeats on the link.
-	partBytes = 1 << 20
-	// partTimeout is the time for the reply to a part, after which the part is sent again.
-	partTimeout = time.Second
-	partDelay   = 50 * time.Millisecond
+	// maxPartBytes bounds the size of a part, so that it does not delay the heartbeats on the link.
+	maxPartBytes = 1 << 20
+	// partTimeout bounds the wait for the reply to a part. The part is sent again afterwards.
+	partTimeout    = time.Second
+	partRetryDelay = 50 * time.Millisecond
 	// beginAttempts is the number of times that a member is asked to become the successor.
 	beginAttempts = 2
-	// receiveLimit bounds the time for which a stopping VM waits for the end of hand-overs that it receives.
-	receiveLimit = 20 * time.Second
-	flushLimit   = time.Second
+	// receiveTimeout bounds the wait of a stopping VM for the end of incoming hand-overs.
+	receiveTimeout = 20 * time.Second
+	flushTimeout   = time.Second
 )
 
 var errSuccessorGone = errors.New("the successor is gone")
 
-// handOvers is the progress of the hand-overs that this VM receives and of its own. Its mutex guards all fields and is
-// held while a part is applied, so that a repeated part waits for the first copy.
+// handOvers tracks the progress of incoming hand-overs and of this VM's own. mu guards the fields below it and is held
+// while a part is applied, so that a repeated part waits for the first copy.
 type handOvers struct {
-	mu   sync.Mutex
-	next map[machine.Incarnation]uint32
-	open map[machine.Incarnation]bool
+	mu       sync.Mutex
+	lastPart map[machine.Incarnation]uint32
+	open     map[machine.Incarnation]bool
 
-	out   sync.Mutex // guards own
-	own   zone.Succession
-	known bool
+	ownMu  sync.Mutex // guards own and hasOwn
+	own    zone.Succession
+	hasOwn bool
 }
 
 func newHandOvers() *handOvers {
-	return &handOvers{next: make(map[machine.Incarnation]uint32), open: make(map[machine.Incarnation]bool)}
+	return &handOvers{lastPart: make(map[machine.Incarnation]uint32), open: make(map[machine.Incarnation]bool)}
 }
 
 func (h *handOvers) successor() (zone.Succession, bool) {
-	h.out.Lock()
-	defer h.out.Unlock()
-	return h.own, h.known
+	h.ownMu.Lock()
+	defer h.ownMu.Unlock()
+	return h.own, h.hasOwn
 }
 
-func (h *handOvers) setSuccessor(s zone.Succession, known bool) {
-	h.out.Lock()
-	defer h.out.Unlock()
-	h.own, h.known = s, known
+func (h *handOvers) setSuccessor(s zone.Succession, hasOwn bool) {
+	h.ownMu.Lock()
+	defer h.ownMu.Unlock()
+	h.own, h.hasOwn = s, hasOwn
 }
 
-// receiving returns the homes whose hand-over has begun and not ended.
+// receiving returns the homes whose hand-over to this VM is in progress.
 func (h *handOvers) receiving() []machine.Incarnation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,32 +71,32 @@
 	return homes
 }
 
-// adopt applies a part of a hand-over, once. A repeated part is acknowledged again.
+// adopt applies a part of a hand-over, once. A repeated part is only acknowledged again.
 func (d *Daemon) adopt(vm string, m *api.HandOver) error {
 	inc := machine.Incarnation(m.GetIncarnation())
 	if machine.Incarnation(m.GetSuccessor()) != d.o.VM.Incarnation {
-		return fault.Unavailable.New("the part is meant for another incarnation")
+		return fault.Unavailable.New("the hand-over is addressed to another incarnation")
 	}
 	h := d.handovers
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.next[inc]
+	last := h.lastPart[inc]
 	if m.GetPart() <= last {
 		return nil
 	}
 	if m.GetPart() != last+1 {
-		return fault.Unavailable.New("part %d arrived before part %d", m.GetPart(), last+1)
+		return fault.Unavailable.New("part %d of the hand-over arrived before part %d", m.GetPart(), last+1)
 	}
 	if last == 0 && (d.dispatcher.Draining() || d.fenced.Load()) {
 		return fault.With(fault.Draining, fault.ReasonDraining, "this entry VM is stopping")
 	}
-	if err := d.configured(); last == 0 && err != nil {
+	if err := d.requireConfiguration(); last == 0 && err != nil {
 		return err
 	}
 	if err := d.applyPart(m); err != nil {
 		return err
 	}
-	h.next[inc] = m.GetPart()
+	h.lastPart[inc] = m.GetPart()
 	complete := len(m.GetHomes()) > 0 && m.GetHomes()[0].GetComplete()
 	if complete {
 		delete(h.open, inc)
@@ -104,19 +104,19 @@
 		h.open[inc] = true
 	}
 	if last == 0 {
-		// The home may still choose another successor, if it does not see the reply to the first part.
+		// If the reply to the first part is lost, the home may still choose another successor.
 		return nil
 	}
 	succession := zone.Succession{
 		Home: inc, VM: vm, Successor: d.o.VM.Incarnation, SuccessorVM: d.o.VM.ID, Complete: complete,
 	}
 	if d.homes.Succeed(succession, d.o.Now()) {
-		d.spread(succession)
+		d.broadcastSuccession(succession)
 	}
 	return nil
 }
 
-// applyPart takes over answers before the homes of the last part, which prove what was never accepted.
+// applyPart applies the answers before the homes: the homes of the last part prove which jobs were never accepted.
 func (d *Daemon) applyPart(m *api.HandOver) error {
 	now := d.o.Now()
 	answers := make([]contract.Answer, 0, len(m.GetAnswers()))
@@ -153,30 +153,30 @@
 	return nil
 }
 
-// Stop refuses new work, finishes what runs, hands the rest over to a successor, waits until callers in flight have
-// their answers, and closes all links. It gives up when ctx ends.
+// Stop refuses new work, completes the running tasks, hands the remaining jobs over to a successor, waits until callers
+// have received their answers, and closes all links. It stops waiting when ctx is cancelled.
 func (d *Daemon) Stop(ctx context.Context) {
 	d.dispatcher.Drain()
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessDraining})
-	d.awaitReceived(ctx)
+	d.awaitIncomingHandOvers(ctx)
 	d.table.Close()
 	d.heartbeat()
-	d.leave(ctx)
-	d.quotas.passOn(ctx)
+	d.handOverAll(ctx)
+	d.quotas.returnQuota(ctx)
 	d.rpcServer.Stop(ctx)
-	d.serving.wait(ctx)
+	d.requests.waitIdle(ctx)
 	d.flush(ctx)
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessStopped})
-	d.kill()
+	d.shutdown()
 	d.o.Logger.Info("entry daemon stopped", "vm", d.o.VM.ID)
 }
 
-// flush waits until the members have acknowledged the closure and the last replies. A link that is down does not hold it
-// up for longer than flushLimit.
+// flush waits until the members have acknowledged the tombstone and the last replies. It waits at most flushTimeout, so
+// that a link that is down does not block the stop.
 func (d *Daemon) flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flushLimit)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	t := time.NewTicker(laneInterval)
+	t := time.NewTicker(schedulerInterval)
 	defer t.Stop()
 	for !d.peers.flushed() {
 		select {
@@ -187,11 +187,12 @@
 	}
 }
 
-// awaitReceived waits until the hand-overs to this VM have ended, so that they are passed on whole.
-func (d *Daemon) awaitReceived(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, receiveLimit)
+// awaitIncomingHandOvers waits until the hand-overs to this VM have completed, so that they can be handed over as a
+// whole.
+func (d *Daemon) awaitIncomingHandOvers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, receiveTimeout)
 	defer cancel()
-	t := time.NewTicker(laneInterval)
+	t := time.NewTicker(schedulerInterval)
 	defer t.Stop()
 	for {
 		waiting := false
@@ -210,9 +211,9 @@
 	}
 }
 
-// leave hands everything over, to another member if a successor is lost on the way. Without a member to hand over to,
-// all accepted jobs run to their end here.
-func (d *Daemon) leave(ctx context.Context) {
+// handOverAll hands all jobs over to a successor, and chooses another one if the successor is lost. If no member is
+// left, all accepted jobs run to completion here.
+func (d *Daemon) handOverAll(ctx context.Context) {
 	tried := map[string]bool{d.o.VM.ID: true}
 	for ctx.Err() == nil {
 		t, ok := d.beginTransfer(ctx, tried)
@@ -222,20 +223,20 @@
 			return
 		}
 		if t.run(ctx) == nil {
-			d.closures.publish(ctx, t.succession)
+			d.tombstones.publish(ctx, t.succession)
 			return
 		}
 	}
 }
 
-// transfer is one attempt to hand over to a successor.
+// transfer is one attempt to hand all jobs over to a successor.
 type transfer struct {
 	d          *Daemon
 	succession zone.Succession
 	part       uint32
 }
 
-// beginTransfer finds a member that accepts the first part, which holds no job.
+// beginTransfer finds a member that accepts the first part, which contains no job.
 func (d *Daemon) beginTransfer(ctx context.Context, tried map[string]bool) (*transfer, bool) {
 	for ctx.Err() == nil {
 		var members []machine.EntryVM
@@ -254,7 +255,7 @@
 		}}
 		if t.begin(ctx) {
 			d.handovers.setSuccessor(t.succession, true)
-			d.peers.broadcast(closureMessage(d.closure(t.succession)))
+			d.peers.broadcast(tombstoneMessage(d.tombstone(t.succession)))
 			return t, true
 		}
 	}
@@ -273,7 +274,7 @@
 	return false
 }
 
-// run transfers the jobs that never started, waits for those that run, and transfers the answers.
+// run transfers the jobs that were never started, waits for the running ones, and transfers the answers.
 func (t *transfer) run(ctx context.Context) error {
 	specs := t.d.table.Detach()
 	if err := t.sendJobs(ctx, specs); err != nil {
@@ -294,13 +295,13 @@
 	return nil
 }
 
-// sendJobs passes jobs on in parts. A job whose part was not acknowledged never runs here again, unless the successor
-// refused the part, which proves that it does not have it.
+// sendJobs transfers jobs in parts. A job whose part was not acknowledged never runs here again, unless the successor
+// refused the part, which proves that it does not have the job.
 func (t *transfer) sendJobs(ctx context.Context, specs []contract.JobSpec) error {
 	for begin := 0; begin < len(specs); {
 		m := &api.HandOver{}
 		end, size := begin, 0
-		for end < len(specs) && (end == begin || size < partBytes) {
+		for end < len(specs) && (end == begin || size < maxPartBytes) {
 			job := t.job(specs[end])
 			size += proto.Size(job)
 			m.Waiting = append(m.Waiting, job)
@@ -349,7 +350,7 @@
 			out := wire.AnswerTo(a)
 			size += proto.Size(out)
 			m.Answers = append(m.Answers, out)
-			if size >= partBytes {
+			if size >= maxPartBytes {
 				flush()
 			}
 		}
@@ -358,7 +359,7 @@
 	return failed
 }
 
-// homes lists the own home first.
+// homes returns the homes that this VM answers for, its own first.
 func (t *transfer) homes(last bool) []*api.HandOverHome {
 	var out []*api.HandOverHome
 	for _, h := range t.d.table.Homes() {
@@ -369,7 +370,7 @@
 	return out
 }
 
-// send repeats the next part until the successor replies, is gone, or ctx ends.
+// send retries the next part until the successor replies or is gone, or ctx is cancelled.
 func (t *transfer) send(ctx context.Context, m *api.HandOver) error {
 	t.part++
 	for {
@@ -377,21 +378,21 @@
 		if err == nil || fault.IsProvenNotStarted(err) {
 			return err
 		}
-		if t.gone(ctx) {
+		if t.successorGone(ctx) {
 			return errSuccessorGone
 		}
 		select {
-		case <-time.After(partDelay):
+		case <-time.After(partRetryDelay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (t *transfer) gone(ctx context.Context) bool {
+func (t *transfer) successorGone(ctx context.Context) bool {
 	home := t.d.homes.Locate(t.succession.Successor, t.d.o.Now())
 	if home.State == zone.HomeSilent {
-		home.State = t.d.declare(ctx, home)
+		home.State = t.d.confirmGone(ctx, home)
 	}
 	return home.State == zone.HomeGone
 }
--- a/entry/health.go
+++ b/entry/health.go
@@ -5,8 +5,8 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// healthChanged offers the granters what a worker may use now, and warns the other members of the failure domain of a
-// quarantined one.
+// healthChanged updates the slots offered to the allocators, and warns the other members of the failure domain of a
+// quarantined worker.
 func (d *Daemon) healthChanged(id machine.WorkerID, state machine.HealthState) {
 	d.slots.reassign()
 	w, ok := d.fleet.Get(id)
@@ -18,8 +18,8 @@
 	}}})
 }
 
-// warned takes over the warning of another member.
-func (d *Daemon) warned(m *api.WorkerWarning) {
+// applyWarning applies the warning of another member.
+func (d *Daemon) applyWarning(m *api.WorkerWarning) {
 	w, ok := d.fleet.Get(machine.WorkerID(m.GetWorker()))
 	if ok && w.Warn(machine.Incarnation(m.GetWorkerIncarnation()), d.o.Now()) {
 		d.slots.reassign()
--- a/entry/keydelegates_test.go
+++ b/entry/keydelegates_test.go
@@ -12,14 +12,14 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// Guards against keys that are refused while only the delegate is cut off from the log, and against a key that is
-// called not claimed in an outage although the stand-in of the delegate has claimed it.
+// Guards against refusing keys while only the delegate is cut off from the log, and against reporting a key as not
+// claimed in an outage although the delegate's backup has claimed it.
 func TestCutOffDelegateIsReplaced(t *testing.T) {
-	log, cut, list := newFakeLog(), newFakeLog(), &fakeList{}
-	cut.set(func(l *fakeLog) { l.down = true })
+	log, downLog, list := newFakeLog(), newFakeLog(), &fakeList{}
+	downLog.set(func(l *fakeLog) { l.down = true })
 	delegate, _ := zone.Choose(claimDelegateKey, []machine.EntryVM{{ID: "a"}, {ID: "b"}})
 	other := map[string]string{"a": "b", "b": "a"}[delegate.ID]
-	first, second := startMember(t, list, cut, delegate.ID, 1), startMember(t, list, log, other, 1)
+	first, second := startMember(t, list, downLog, delegate.ID, 1), startMember(t, list, log, other, 1)
 	members := []*Daemon{first, second}
 	for _, d := range members {
 		require.Eventually(t, func() bool { return d.LiveMembers() == 2 }, 20*time.Second, 10*time.Millisecond)
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	require.Equal(t, minted[0], id)
 	for _, d := range members {
-		id, found, err := d.findKey(t.Context(), claimed)
+		id, found, err := d.lookupKey(t.Context(), claimed)
 		require.NoError(t, err)
 		require.True(t, found)
 		require.Equal(t, minted[0], id)
@@ -42,14 +42,14 @@
 	log.set(func(l *fakeLog) { l.down = true })
 	for _, d := range members {
 		require.Eventually(t, func() bool {
-			_, found, err := d.excludeKey(t.Context(), key(2))
+			_, found, err := d.confirmUnclaimed(t.Context(), key(2))
 			return err == nil && !found
 		}, 20*time.Second, 50*time.Millisecond)
-		id, found, err := d.excludeKey(t.Context(), claimed)
+		id, found, err := d.confirmUnclaimed(t.Context(), claimed)
 		require.NoError(t, err)
 		require.True(t, found)
 		require.Equal(t, minted[0], id)
-		_, _, err = d.findKey(t.Context(), key(2))
-		require.Error(t, err, "a caller's question by key stays open")
+		_, _, err = d.lookupKey(t.Context(), key(2))
+		require.Error(t, err, "a lookup by a caller's key is undecided")
 	}
 }
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -18,30 +18,30 @@
 	// claimDelegateKey is hashed with the members' ids to choose the claim delegate.
 	claimDelegateKey = "claims"
 	delegateInterval = 500 * time.Millisecond
-	// appendBudget is the rate of appends that all processes share, out of the several hundred a second that the
+	// appendBudget is the rate of appends a second that all processes share, out of the several hundred that the
 	// platform sustains.
 	appendBudget = 300.0
-	// claimReplyMargin is the time that a reply of the delegate takes beyond the wait for the log.
+	// claimReplyMargin is the time that a delegate's reply takes in addition to the wait for the log.
 	claimReplyMargin = 200 * time.Millisecond
-	// claimsTimeout bounds the claims through the delegate and its stand-in together. With keyInquiryTimeout it stays
+	// claimsTimeout bounds the claims through the delegate and its backup together. The sum with keyInquiryTimeout is
 	// below the three seconds after which a client repeats its call.
 	claimsTimeout = 1600 * time.Millisecond
-	// keyInquiryTimeout bounds the questions to other failure domains while the log cannot be reached.
+	// keyInquiryTimeout bounds the queries to other failure domains while the log is unreachable.
 	keyInquiryTimeout = 600 * time.Millisecond
-	// maxKeyInquiries bounds the claims that ask other failure domains at the same time.
+	// maxKeyInquiries bounds the claims that query other failure domains concurrently.
 	maxKeyInquiries = 64
 )
 
-// electClaims starts the claim delegate if this VM is chosen and gives it its part of the append budget.
-func (d *Daemon) electClaims() {
+// electClaimDelegate starts the claim delegate if this VM is chosen, and sets its share of the append budget.
+func (d *Daemon) electClaimDelegate() {
 	d.budget.SetRate(appendBudget / float64(1+len(d.peers.otherDomains())))
 	vm, ok := zone.Choose(claimDelegateKey, d.domain.Live())
-	d.claims.elected(ok && vm.ID == d.o.VM.ID)
+	d.claims.updateElection(ok && vm.ID == d.o.VM.ID)
 }
 
-// submitKeyed claims the key of a submission for a fresh id and submits under the id that holds the key. The first
-// submission of a key defines the job: a repetition, also one with different contents, receives the first one's
-// answer.
+// submitKeyed claims the idempotency key of a submission for a new job id and submits under the id that the key is
+// bound to. The first submission of a key defines the job: a repetition, even with different contents, receives the
+// answer of the first one.
 func (d *Daemon) submitKeyed(ctx context.Context, s contract.Submission, wait time.Duration) (contract.Answer, error) {
 	key := *s.Ref.Key
 	if len(key.Customer)+len(key.Text) > contract.MaxKeyBytes {
@@ -49,12 +49,12 @@
 	}
 	ids := d.table.Mint(1)
 	if ids == nil || d.dispatcher.Draining() {
-		// The key may have a job already, so that "not run" would not be proven.
+		// The key may already have a job, so this must not be reported as "not run".
 		return contract.Answer{}, fault.Unavailable.New("this entry VM is stopping")
 	}
 	id, err := d.claimKey(ctx, contract.Claim{Key: key, Job: ids[0]})
 	if err != nil {
-		id, err = d.unclaimed(ctx, key, ids[0], err)
+		id, err = d.resolveFailedClaim(ctx, key, ids[0], err)
 	}
 	if err != nil {
 		return contract.Answer{}, err
@@ -63,8 +63,8 @@
 	return d.Submit(ctx, s, wait)
 }
 
-// delegates returns the delegate of the own failure domain and the member that stands in for it, while the delegate does
-// not answer or is cut off from the log. Any number of delegates is safe, since the log decides.
+// delegates returns the delegate of this failure domain and its backup, which is used while the delegate does not reply
+// or is cut off from the log. Any number of delegates is safe, because the log decides.
 func (d *Daemon) delegates() []machine.EntryVM {
 	live := d.domain.Live()
 	var out []machine.EntryVM
@@ -82,7 +82,7 @@
 	return out
 }
 
-// claimKey has a delegate of the own failure domain claim a key.
+// claimKey claims a key through a delegate of this failure domain.
 func (d *Daemon) claimKey(ctx context.Context, c contract.Claim) (contract.JobID, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimsTimeout)
 	defer cancel()
@@ -103,102 +103,106 @@
 	return id, err
 }
 
-// unclaimed decides what is true of a submission whose claim failed. The append may still take effect, hence "not
-// run" is only said once the minted id is marked as never to run and no failure domain knows another id of the key.
-func (d *Daemon) unclaimed(ctx context.Context, k contract.CallerKey, minted contract.JobID, cause error) (contract.JobID, error) {
+// resolveFailedClaim decides what to report for a submission whose claim failed. The append may still take effect. "Not
+// run" is therefore only reported once the minted id is marked as never to run and no failure domain knows another id
+// of the key.
+func (d *Daemon) resolveFailedClaim(
+	ctx context.Context, k contract.CallerKey, minted contract.JobID, cause error,
+) (contract.JobID, error) {
 	if !fault.IsRetriable(cause) {
 		d.table.Refuse(minted, fault.Reason(cause), cause.Error(), d.o.Now())
 		return contract.JobID{}, cause
 	}
-	id, found, err := d.inquire(ctx, k)
+	id, found, err := d.lookupAllDomains(ctx, k)
 	if found {
 		return id, nil
 	}
 	if err != nil {
-		return contract.JobID{}, fault.Unavailable.Wrap(cause, "the state of key %s is not known: %s", k, err)
+		return contract.JobID{}, fault.Unavailable.Wrap(cause, "the state of key %s is unknown: %s", k, err)
 	}
 	reason := "log unreachable"
 	if !d.table.Refuse(minted, reason, cause.Error(), d.o.Now()) {
-		// A concurrent submission was forwarded to the minted id and has been accepted under it.
+		// A concurrent submission was forwarded to the minted id and accepted under it.
 		return minted, nil
 	}
 	return contract.JobID{}, fault.With(fault.Overloaded, reason, "key %s is not claimed: %s", k, cause)
 }
 
-// inquire asks the delegates of all failure domains for the id that holds a key. An error says that at least one of
-// them cannot exclude that the key is claimed.
-func (d *Daemon) inquire(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
+// lookupAllDomains asks the delegates of all failure domains for the job id that a key is bound to. On an error, at
+// least one of them cannot rule out that the key is claimed.
+func (d *Daemon) lookupAllDomains(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	select {
 	case d.inquiries <- struct{}{}:
 		defer func() { <-d.inquiries }()
 	default:
-		return contract.JobID{}, false, fault.Unavailable.New("too many keys are being looked up")
+		return contract.JobID{}, false, fault.Unavailable.New("too many concurrent key lookups")
 	}
 	ctx, cancel := context.WithTimeout(ctx, keyInquiryTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var winner contract.JobID
 	var found bool
-	var open error
-	note := func(id contract.JobID, ok bool, err error) {
+	var undecided error
+	record := func(id contract.JobID, ok bool, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if ok {
 			winner, found = id, true
 		}
 		if err != nil {
-			open = err
+			undecided = err
 		}
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { note(d.excludeKey(ctx, k)) })
+	wg.Go(func() { record(d.confirmUnclaimed(ctx, k)) })
 	for _, vms := range d.peers.otherDomains() {
 		via, ok := zone.Choose(claimDelegateKey, vms)
 		if !ok {
-			note(contract.JobID{}, false, fault.Unavailable.New("all entry VMs of a failure domain are leaving"))
+			record(contract.JobID{}, false, fault.Unavailable.New("all entry VMs of a failure domain are leaving"))
 			continue
 		}
 		wg.Go(func() {
 			req := &api.ClaimRequest{Key: wire.KeyTo(k), Lookup: true}
-			note(d.askDelegate(ctx, via.ID, req, keyInquiryTimeout))
+			record(d.askDelegate(ctx, via.ID, req, keyInquiryTimeout))
 		})
 	}
 	wg.Wait()
-	return winner, found, open
+	return winner, found, undecided
 }
 
-// findKey has the delegates of the own failure domain look a key up, the second one if the first cannot read the log.
-func (d *Daemon) findKey(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
+// lookupKey looks up a key through a delegate of this failure domain, or through its backup if the first one cannot
+// read the log.
+func (d *Daemon) lookupKey(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	var err error
 	for _, vm := range d.delegates() {
 		var id contract.JobID
 		var found bool
-		if id, found, err = d.findAt(ctx, vm.ID, k); err == nil {
+		if id, found, err = d.lookupAt(ctx, vm.ID, k); err == nil {
 			return id, found, nil
 		}
 	}
 	return contract.JobID{}, false, err
 }
 
-// excludeKey looks for proof that no delegate of the own failure domain has claimed or is claiming a key: all have to
-// answer, and one of them must be up to date or have been so before an outage.
-func (d *Daemon) excludeKey(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
+// confirmUnclaimed tries to prove that no delegate of this failure domain has claimed or is claiming a key: all have to
+// reply, and at least one must be up to date or have been so before an outage.
+func (d *Daemon) confirmUnclaimed(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	upToDate := false
-	var open error
+	var undecided error
 	for _, vm := range d.delegates() {
-		id, found, err := d.findAt(ctx, vm.ID, k)
+		id, found, err := d.lookupAt(ctx, vm.ID, k)
 		switch {
 		case found:
 			return id, true, nil
 		case err == nil || fault.Reason(err) == reasonNotClaimed:
 			upToDate = true
 		case fault.Reason(err) != reasonNotRead:
-			open = err
+			undecided = err
 		}
 	}
 	switch {
-	case open != nil:
-		return contract.JobID{}, false, open
+	case undecided != nil:
+		return contract.JobID{}, false, undecided
 	case !upToDate:
 		return contract.JobID{}, false, fault.Unavailable.New("no delegate has read the claims of key %s", k)
 	default:
@@ -206,9 +210,9 @@
 	}
 }
 
-func (d *Daemon) findAt(ctx context.Context, vm string, k contract.CallerKey) (contract.JobID, bool, error) {
+func (d *Daemon) lookupAt(ctx context.Context, vm string, k contract.CallerKey) (contract.JobID, bool, error) {
 	if vm == d.o.VM.ID {
-		return d.claims.find(ctx, k)
+		return d.claims.lookup(ctx, k)
 	}
 	req := &api.ClaimRequest{Key: wire.KeyTo(k), Lookup: true}
 	return d.askDelegate(ctx, vm, req, claimTimeout)
@@ -226,8 +230,9 @@
 	return id, true, nil
 }
 
-// serveClaim answers a peer. A member of the own failure domain has chosen this VM as the delegate; a foreign one may
-// know the members less well, so that its lookup goes to the delegates that this VM knows.
+// serveClaim serves a claim or lookup of a peer. A member of this failure domain has chosen this VM as a delegate. A VM
+// of another failure domain may have an outdated view of the members, so its lookup is passed to the delegates known
+// here.
 func (d *Daemon) serveClaim(ctx context.Context, vm string, r *api.ClaimRequest, resp *api.Response) error {
 	key := wire.KeyFrom(r.GetKey())
 	var id contract.JobID
@@ -241,9 +246,9 @@
 		}
 		id, err = d.claims.claim(ctx, contract.Claim{Key: key, Job: job})
 	case d.peers.domainOf(vm) == d.o.Domain:
-		id, found, err = d.claims.find(ctx, key)
+		id, found, err = d.claims.lookup(ctx, key)
 	default:
-		id, found, err = d.excludeKey(ctx, key)
+		id, found, err = d.confirmUnclaimed(ctx, key)
 	}
 	if err != nil {
 		return err
@@ -256,15 +261,15 @@
 	return nil
 }
 
-// resolveKey replaces a key by the id that holds it.
+// resolveKey replaces a key by the job id that it is bound to.
 func (d *Daemon) resolveKey(ctx context.Context, r contract.JobRef) (contract.JobRef, error) {
 	if r.Key == nil {
 		return r, nil
 	}
-	id, found, err := d.findKey(ctx, *r.Key)
+	id, found, err := d.lookupKey(ctx, *r.Key)
 	switch {
 	case fault.IsProvenNotStarted(err):
-		return r, fault.Unavailable.New("key %s is not known here and the log cannot be reached", r.Key)
+		return r, fault.Unavailable.New("key %s is not known to this entry VM and the log is unreachable", r.Key)
 	case err != nil:
 		return r, err
 	case !found:
@@ -280,7 +285,8 @@
 	return p.domains[vm]
 }
 
-// otherDomains returns the listed entry VMs of each other failure domain that are not leaving; there may be none.
+// otherDomains returns the listed entry VMs of each other failure domain, without those that are leaving. The list of a
+// domain may be empty.
 func (p *peers) otherDomains() map[zone.DomainID][]machine.EntryVM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/keys_bench_test.go
+++ b/entry/keys_bench_test.go
@@ -42,7 +42,7 @@
 		defer c.Close()
 		clients = append(clients, c)
 	}
-	// The delegates are elected and have read the stream by then.
+	// Wait until the delegates are elected and have read the stream.
 	time.Sleep(time.Second)
 	before := d.Platform.Stats().Appends
 	begin := time.Now()
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -17,8 +17,9 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// keyed is a deployment of two failure domains with a client of each entry VM and the starts seen by workers.
-type keyed struct {
+// keyedDeployment is a deployment of two failure domains with a client of each entry VM. It counts the starts on the
+// workers.
+type keyedDeployment struct {
 	*load.Deployment
 	clients []*rpc.Client
 
@@ -26,9 +27,9 @@
 	starts map[string]int
 }
 
-func startKeyed(t *testing.T) *keyed {
+func startKeyedDeployment(t *testing.T) *keyedDeployment {
 	t.Helper()
-	k := &keyed{starts: make(map[string]int)}
+	k := &keyedDeployment{starts: make(map[string]int)}
 	d, err := load.StartDeployment(load.DeploymentOptions{
 		Domains: 2, EntryVMs: 2, Workers: 1, Slots: 8, Services: load.DeploymentServices, Work: standin.DeploymentWork,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -50,7 +51,7 @@
 	return k
 }
 
-func (k *keyed) total() int {
+func (k *keyedDeployment) total() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -69,10 +70,10 @@
 	return s
 }
 
-// Guards against a second run of a key that is submitted to all entry VMs of two failure domains at once, with
+// Guards against a second run of a key that is submitted concurrently to all entry VMs of two failure domains with
 // different contents, and against calls by key that only the home can answer.
 func TestKeyRunsOnceAcrossFailureDomains(t *testing.T) {
-	k := startKeyed(t)
+	k := startKeyedDeployment(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	answers := make([]contract.Answer, len(k.clients))
@@ -103,10 +104,10 @@
 	}
 }
 
-// Guards against a false "not run" and a run after it: in an outage a fresh key is refused and never runs, and a key
-// that has run receives its answer from every entry VM.
+// Guards against reporting "not run" for a key that runs later: in an outage a new key is refused and never runs, and a
+// key that has run receives its answer from every entry VM.
 func TestKeysInLogOutage(t *testing.T) {
-	k := startKeyed(t)
+	k := startKeyedDeployment(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	ran := keySubmission("ran", 1)
@@ -130,7 +131,8 @@
 	}
 	require.Equal(t, 1, k.total())
 	k.Platform.SetFaults(standin.PlatformFaults{})
-	// A delegate that pauses after a failed read may still refuse; it must serve again before ctx ends.
+	// A delegate may still refuse until its backoff after a failed read has passed; it must serve again before ctx
+	// expires.
 	a := contract.Answer{Verdict: contract.VerdictRefused}
 	for n := 0; a.Verdict == contract.VerdictRefused; n++ {
 		a, err = k.clients[0].Do(ctx, keySubmission(fmt.Sprint("after", n), 1))
--- a/entry/log_bench_test.go
+++ b/entry/log_bench_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkClaim measures the wait for the claim of a key and the appends for it, with one delegate for each failure
+// BenchmarkClaim measures the wait for the claim of a key and the rate of appends, with one delegate for each failure
 // domain and claims at fixed rates. Run it with -benchtime 1x.
 func BenchmarkClaim(b *testing.B) {
 	for _, domains := range []int{4, 23} {
@@ -106,12 +106,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for range readers {
-		c := newTestCarrier(open())
+		c := newTestReplica(open())
 		last := uint64(0)
 		c.o.Apply = func(v contract.ConfigView) {
 			mu.Lock()
 			defer mu.Unlock()
-			// A page of several changes is applied at once.
+			// Several changes in one page are applied together.
 			for ; last < v.Revision; last++ {
 				if inForce[last+1]++; inForce[last+1] == readers {
 					reached[last+1] = time.Now()
@@ -133,7 +133,7 @@
 	var took []time.Duration
 	for n, at := range published {
 		end, ok := reached[uint64(n+1)]
-		require.True(b, ok, "revision %d is not in force", n+1)
+		require.True(b, ok, "revision %d is not in effect", n+1)
 		took = append(took, end.Sub(at))
 	}
 	reportQuantiles(b, "in_force", took)
--- a/entry/membership.go
+++ b/entry/membership.go
@@ -12,7 +12,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// refreshList takes over the platform's list. An outage leaves everything as it was.
+// refreshList applies the platform's list. If the list is unavailable, nothing changes.
 func (d *Daemon) refreshList(ctx context.Context) {
 	vms, err := d.o.List.List(ctx)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	d.homes.ApplyList(listed, now)
 	if d.wasListed.Load() && !listed[d.o.VM.ID] {
-		d.fence("the list no longer shows this entry VM")
+		d.fence("this entry VM was removed from the list")
 	}
 	d.wasListed.Store(listed[d.o.VM.ID])
 	d.applyChanges(d.domain.ApplyList(platform.EntryListings(vms), now))
@@ -51,16 +51,16 @@
 	}
 }
 
-// pollWait bounds the time for which a round of status polls is waited for. A worker that does not answer is asked by
-// its own goroutine until its call ends and holds up no other.
-const pollWait = 250 * time.Millisecond
+// pollRoundTimeout bounds the wait for a round of status polls. The call to a worker that does not reply continues in
+// its own goroutine and does not delay the others.
+const pollRoundTimeout = 250 * time.Millisecond
 
-// pollWorkers asks the workers whose turn it is for their status, at the same time.
+// pollWorkers polls the workers that are due in this round concurrently.
 func (d *Daemon) pollWorkers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, w := range d.duePolls() {
 		wg.Go(func() {
-			// A worker that does not answer keeps its last status; its starts become in doubt.
+			// A worker that does not reply keeps its last status; its starts become in doubt.
 			_, _ = d.poll(ctx, w)
 		})
 	}
@@ -69,7 +69,7 @@
 		wg.Wait()
 		close(done)
 	}()
-	timer := time.NewTimer(pollWait)
+	timer := time.NewTimer(pollRoundTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -78,10 +78,10 @@
 	d.slots.reassign()
 }
 
-// heartbeat tells the members of the failure domain that this process is alive and suspects silent ones.
+// heartbeat sends heartbeats to the peers and marks silent members as suspect.
 func (d *Daemon) heartbeat() {
-	d.checkLapse()
-	d.operators.lastBeat.Store(d.o.Now().UnixNano())
+	d.checkPause()
+	d.adminState.lastHeartbeat.Store(d.o.Now().UnixNano())
 	d.applyChanges(d.domain.Tick(d.o.Now()))
 	leaving := d.dispatcher.Draining()
 	offset, revision := d.configs.position()
@@ -101,12 +101,12 @@
 		return
 	}
 	for _, c := range changes {
-		d.o.Logger.Info("member changed state", "vm", c.VM.ID, "from", c.From.String(), "to", c.To.String())
+		d.o.Logger.Info("member state changed", "vm", c.VM.ID, "from", c.From.String(), "to", c.To.String())
 		d.timeline.Record(timeline.Event{Kind: timeline.MemberChanged, Peer: c.VM.ID, Detail: c.To.String()})
 		d.slots.memberChanged(c)
 	}
 	d.slots.reassign()
 }
 
-// LiveMembers counts the members of the failure domain that may receive new work.
+// LiveMembers returns the number of members of the failure domain that may receive new work.
 func (d *Daemon) LiveMembers() int { return len(d.domain.Live()) }
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -15,7 +15,7 @@
 
 // receive handles the envelopes of one link, in order.
 func (d *Daemon) receive(env *api.Envelope) link.Reception {
-	d.checkLapse()
+	d.checkPause()
 	d.clock.Observe(env.GetLamport())
 	inc := machine.Incarnation(env.GetFromIncarnation())
 	vm := env.GetFromVm()
@@ -26,21 +26,21 @@
 			return d.reject(inc)
 		}
 		if fresh {
-			d.appeared(vm, inc)
+			d.syncHomes(vm, inc)
 		}
 	}
-	d.slots.heard(vm, inc)
+	d.slots.observeIncarnation(vm, inc)
 	leaving := false
 	for _, m := range env.GetMessages() {
 		if h := m.GetHeartbeat(); h != nil {
 			leaving = h.GetLeaving()
-			d.heardConfiguration(vm, h.GetConfigOffset())
+			d.sendMissingConfiguration(vm, h.GetConfigOffset())
 			d.quotas.setSeeded(h.GetQuotaSeeded())
 		}
 	}
 	d.applyChanges(d.domain.Heard(vm, inc, leaving, now))
 	for _, m := range env.GetMessages() {
-		if !d.slots.handleSlots(vm, inc, m) && !d.quotas.heard(vm, inc, m) {
+		if !d.slots.handleSlots(vm, inc, m) && !d.quotas.handleMessage(vm, inc, m) {
 			d.handle(vm, m)
 		}
 	}
@@ -57,30 +57,30 @@
 func (d *Daemon) handle(vm string, m *api.PeerMessage) {
 	switch b := m.GetBody().(type) {
 	case *api.PeerMessage_ConfigRecords:
-		d.configs.fromPeer(b.ConfigRecords)
+		d.configs.applyFromPeer(b.ConfigRecords)
 	case *api.PeerMessage_Request:
-		// Requests may wait for a job's answer and so must not hold up the link.
-		if d.serving.begin() {
+		// A request may wait for a job's answer, so it must not block the link.
+		if d.requests.acquire() {
 			go d.serveRequest(vm, b.Request)
 		}
 	case *api.PeerMessage_WorkerWarning:
-		d.warned(b.WorkerWarning)
+		d.applyWarning(b.WorkerWarning)
 	case *api.PeerMessage_Response:
 		d.peers.reply(vm, b.Response)
 	case *api.PeerMessage_Closure:
-		d.closureFrom(b.Closure)
+		d.receiveTombstone(b.Closure)
 	case *api.PeerMessage_Homes:
-		d.homesFrom(b.Homes)
+		d.receiveHomes(b.Homes)
 	}
 }
 
-// serveRequest answers a call that a peer has forwarded.
+// serveRequest serves a request of a peer and sends the response.
 func (d *Daemon) serveRequest(vm string, r *api.Request) {
-	defer d.serving.end()
+	defer d.requests.release()
 	ctx, cancel := context.WithTimeout(withHops(context.Background(), r.GetHops()), forwardLimit)
 	defer cancel()
 	resp := &api.Response{Id: r.GetId()}
-	if err := d.perform(ctx, vm, r, resp); err != nil {
+	if err := d.dispatchRequest(ctx, vm, r, resp); err != nil {
 		resp.ErrorCode = fault.Code(err)
 		if resp.ErrorCode == "" {
 			resp.ErrorCode = fault.Unavailable.FullName()
@@ -91,7 +91,7 @@
 	d.peers.send(vm, &api.PeerMessage{Body: &api.PeerMessage_Response{Response: resp}})
 }
 
-func (d *Daemon) perform(ctx context.Context, vm string, r *api.Request, resp *api.Response) error {
+func (d *Daemon) dispatchRequest(ctx context.Context, vm string, r *api.Request, resp *api.Response) error {
 	switch b := r.GetBody().(type) {
 	case *api.Request_HandOver:
 		err := d.adopt(vm, b.HandOver)
@@ -104,12 +104,12 @@
 	case *api.Request_Claim:
 		return d.serveClaim(ctx, vm, b.Claim, resp)
 	default:
-		return d.performCall(ctx, r, resp)
+		return d.serveCall(ctx, r, resp)
 	}
 }
 
-// performCall serves a caller's call.
-func (d *Daemon) performCall(ctx context.Context, r *api.Request, resp *api.Response) error {
+// serveCall serves a caller's call that a peer has forwarded.
+func (d *Daemon) serveCall(ctx context.Context, r *api.Request, resp *api.Response) error {
 	switch b := r.GetBody().(type) {
 	case *api.Request_Submit:
 		s, err := wire.SubmissionFrom(b.Submit)
@@ -150,7 +150,7 @@
 		p, err := d.Status(ctx, ref)
 		return d.setProgress(resp, p, err)
 	default:
-		return fault.Unavailable.New("request is not supported")
+		return fault.Unavailable.New("unsupported request")
 	}
 }
 
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	// stalledAfter is the time without a heartbeat tick after which the process counts as unhealthy.
+	// stalledAfter is the time without a heartbeat tick after which the process is reported as unhealthy.
 	stalledAfter = 10 * heartbeatInterval
-	// overloadWait is the expected wait at which the balancer is told to prefer other VMs: the shortest deadline
-	// of the deployments' request kinds, beyond which admission refuses them anyway.
+	// overloadWait is the expected wait above which this VM reports itself as not ready, so that the load balancer
+	// prefers others: the shortest deadline of the deployments' request kinds. Admission refuses such requests beyond
+	// it anyway.
 	overloadWait = 2 * time.Second
 )
 
-// operators is what the daemon keeps for its admin side.
-type operators struct {
-	server   *admin.Server
-	started  time.Time
-	serving  atomic.Bool
-	lastBeat atomic.Int64
+// adminState is the state of the daemon for its admin endpoints.
+type adminState struct {
+	server        *admin.Server
+	started       time.Time
+	serving       atomic.Bool
+	lastHeartbeat atomic.Int64
 }
 
-// serveOperators starts the admin side before the daemon serves callers, so that it can report the start itself.
+// serveOperators starts the admin server before the daemon serves callers, so that the startup can be observed.
 func (d *Daemon) serveOperators() {
-	d.operators.started = d.o.Now()
-	d.operators.lastBeat.Store(d.operators.started.UnixNano())
+	d.adminState.started = d.o.Now()
+	d.adminState.lastHeartbeat.Store(d.adminState.started.UnixNano())
 	d.registerGauges()
 	if d.o.Admin != nil {
-		d.operators.server = admin.Serve(admin.Options{
+		d.adminState.server = admin.Serve(admin.Options{
 			Listener: d.o.Admin, Source: d, Timeline: d.timeline, Metrics: d.o.Metrics,
 		})
 	}
 }
 
-// stopOperators ends the admin side last, so that a drain can be watched.
+// stopOperators stops the admin server. It is the last part to stop, so that a drain can be observed.
 func (d *Daemon) stopOperators() {
-	if d.operators.server == nil {
+	if d.adminState.server == nil {
 		return
 	}
-	if err := d.operators.server.Stop(); err != nil {
+	if err := d.adminState.server.Stop(); err != nil {
 		d.o.Logger.Warn("admin server did not stop cleanly", "error", err)
 	}
 }
 
-// registerGauges makes current amounts visible as metrics. They are computed when they are read.
+// registerGauges registers metrics of current values, which are computed when they are read.
 func (d *Daemon) registerGauges() {
 	gauge := func(name string, read func() int) {
 		metrics.NewRegisteredFunctionalGauge(name, d.o.Metrics, func() int64 { return int64(read()) })
@@ -58,30 +59,30 @@
 	gauge(metric.MembersLive, d.LiveMembers)
 	gauge(metric.QueueWaiting, func() int {
 		n := 0
-		for _, l := range d.dispatcher.Lanes() {
-			depth := l.View().Depth
+		for _, sched := range d.dispatcher.Lanes() {
+			depth := sched.View().Depth
 			n += depth.Short + depth.Long
 		}
 		return n
 	})
 	gauge(metric.SlotsHeld, func() int {
 		n := 0
-		for _, l := range d.dispatcher.Lanes() {
-			v := l.View()
+		for _, sched := range d.dispatcher.Lanes() {
+			v := sched.View()
 			n += v.Idle + v.Busy
 		}
 		return n
 	})
 }
 
-// count adds to a counter. It is for events that are rare next to task starts.
+// count adds n to a counter. It is meant for events that are rare compared with task starts.
 func (d *Daemon) count(name string, n int) {
 	metrics.GetOrRegisterCounter(name, d.o.Metrics).Inc(int64(n))
 }
 
 // Health implements admin.Source.
 func (d *Daemon) Health() error {
-	if silent := d.o.Now().Sub(time.Unix(0, d.operators.lastBeat.Load())); silent > stalledAfter {
+	if silent := d.o.Now().Sub(time.Unix(0, d.adminState.lastHeartbeat.Load())); silent > stalledAfter {
 		return fmt.Errorf("no heartbeat tick for %s", silent.Round(time.Millisecond))
 	}
 	return nil
@@ -90,24 +91,24 @@
 // Readiness implements admin.Source.
 func (d *Daemon) Readiness() admin.Readiness {
 	var reasons []string
-	if !d.operators.serving.Load() {
+	if !d.adminState.serving.Load() {
 		reasons = append(reasons, "starting")
 	}
 	if d.dispatcher.Draining() {
 		reasons = append(reasons, "draining")
 	}
-	lanes := d.dispatcher.Lanes()
-	if d.configured() != nil {
+	schedulers := d.dispatcher.Lanes()
+	if d.requireConfiguration() != nil {
 		reasons = append(reasons, "no configuration")
 	}
-	if len(lanes) == 0 {
+	if len(schedulers) == 0 {
 		reasons = append(reasons, "no service is configured")
 	}
 	if !d.anyWorker() {
 		reasons = append(reasons, "no worker has reported")
 	}
-	for _, l := range lanes {
-		if v := l.View(); expectedWait(v) > overloadWait {
+	for _, sched := range schedulers {
+		if v := sched.View(); expectedWait(v) > overloadWait {
 			reasons = append(reasons, "overload of "+v.Service)
 		}
 	}
@@ -123,7 +124,7 @@
 	return false
 }
 
-// expectedWait is the waiting work of a lane divided by the slots that it holds.
+// expectedWait returns the queued work of a service scheduler divided by the slots that it holds.
 func expectedWait(v dispatch.LaneView) time.Duration {
 	work := v.Depth.ShortWork + v.Depth.LongWork
 	return work / time.Duration(max(1, v.Idle+v.Busy))
--- a/entry/overload_test.go
+++ b/entry/overload_test.go
@@ -10,7 +10,7 @@
 	"github.com/cicadadale/cicadadale/dispatch"
 )
 
-// Guards against a VM without slots that divides by zero, and against a wait that ignores the slots held.
+// Guards against a division by zero on a VM without slots, and against a wait that ignores the slots held.
 func TestExpectedWait(t *testing.T) {
 	v := dispatch.LaneView{Depth: customer.Depth{ShortWork: 6 * time.Second, LongWork: 2 * time.Second}}
 	require.Equal(t, 8*time.Second, expectedWait(v))
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxRequests bounds the requests to other entry VMs that wait for a reply, and maxServed those of others that
-	// are served at the same time.
+	// maxRequests bounds the requests to other entry VMs that wait for a reply, and maxServed the requests of others
+	// that are served concurrently.
 	maxRequests = 16384
 	maxServed   = 16384
 )
 
-// peers holds the links to other entry VMs and the requests that wait for their replies. mu guards all fields.
+// peers holds the links to other entry VMs and the requests that wait for replies. mu guards all fields.
 type peers struct {
 	d *Daemon
 
@@ -28,12 +28,12 @@
 	listed  map[string]platform.VM
 	links   map[string]*link.Peer
 	domains map[string]zone.DomainID
-	pending map[uint64]call
+	pending map[uint64]pendingRequest
 	nextID  uint64
 }
 
-// call is a request that waits for its reply.
-type call struct {
+// pendingRequest is a request that waits for its reply.
+type pendingRequest struct {
 	vm    string
 	reply chan *api.Response
 }
@@ -41,15 +41,16 @@
 func newPeers(d *Daemon) *peers {
 	return &peers{
 		d: d, listed: make(map[string]platform.VM), links: make(map[string]*link.Peer),
-		domains: make(map[string]zone.DomainID), pending: make(map[uint64]call),
+		domains: make(map[string]zone.DomainID), pending: make(map[uint64]pendingRequest),
 	}
 }
 
-// applyList opens links to the listed members of the own failure domain and closes those of dropped VMs.
+// applyList opens links to the listed members of this failure domain and closes those to VMs that are removed from the
+// list.
 func (p *peers) applyList(vms []platform.VM) {
 	p.mu.Lock()
 	p.listed = make(map[string]platform.VM)
-	var ended []*link.Peer
+	var closing []*link.Peer
 	for _, v := range vms {
 		if v.Kind == platform.KindEntry && v.ID != p.d.o.VM.ID {
 			p.listed[v.ID] = v
@@ -63,7 +64,7 @@
 	}
 	for id, l := range p.links {
 		if v, ok := p.listed[id]; !ok || v.PeerAddress != l.Address() {
-			ended = append(ended, l)
+			closing = append(closing, l)
 			delete(p.links, id)
 		}
 	}
@@ -73,12 +74,13 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, l := range ended {
+	for _, l := range closing {
 		l.Close()
 	}
 }
 
-// open expects p.mu to be held. It returns nil for a VM that is not listed.
+// open returns the link to a VM and opens it if necessary. It returns nil for a VM that is not listed. p.mu must be
+// held.
 func (p *peers) open(id string) *link.Peer {
 	if l, ok := p.links[id]; ok {
 		return l
@@ -91,14 +93,14 @@
 	l := link.NewPeer(id, v.PeerAddress, link.PeerOptions{
 		Self: link.Identity{VM: o.VM, Domain: uint32(o.Domain)}, Dial: o.DialPeer, Lamport: p.d.clock.Tick, Now: o.Now,
 		Logger: o.Logger, Metrics: o.Metrics, Timeline: p.d.timeline,
-		Sent: p.d.lease.Sent, Acked: p.d.lease.Acknowledged, Replaced: p.replaced,
+		Sent: p.d.lease.Sent, Acked: p.d.lease.Acknowledged, Replaced: p.connectionReplaced,
 		Refused: p.d.refusedBy,
 	})
 	p.links[id] = l
 	return l
 }
 
-// send queues messages for a peer. Messages to a VM that is not listed are dropped.
+// send queues messages for a peer. It drops them and returns false if the VM is not listed.
 func (p *peers) send(id string, msgs ...*api.PeerMessage) bool {
 	p.mu.Lock()
 	l := p.open(id)
@@ -110,7 +112,7 @@
 	return true
 }
 
-// failing reports whether the link to a VM is down and could not be opened again.
+// failing reports whether the link to a VM is down and the last attempt to reconnect has failed.
 func (p *peers) failing(id string) bool {
 	p.mu.Lock()
 	l, ok := p.links[id]
@@ -118,7 +120,7 @@
 	return ok && l.Failing()
 }
 
-// flushed reports whether all links that are up have sent everything and had it acknowledged.
+// flushed reports whether all links that are up have sent all messages and received their acknowledgements.
 func (p *peers) flushed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,8 +132,8 @@
 	return true
 }
 
-// replaced ends the requests that were sent over a connection which is lost; their replies may be lost as well.
-func (p *peers) replaced(vm string) {
+// connectionReplaced fails the requests sent over a lost connection, because their replies may be lost as well.
+func (p *peers) connectionReplaced(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range p.pending {
@@ -142,7 +144,7 @@
 	}
 }
 
-// broadcast sends to the members of the own failure domain.
+// broadcast sends a message to the members of this failure domain.
 func (p *peers) broadcast(msg *api.PeerMessage) {
 	p.mu.Lock()
 	var links []*link.Peer
@@ -157,7 +159,7 @@
 	}
 }
 
-// heartbeat sends to all VMs with an open link, which keeps the links to other failure domains from counting as idle.
+// heartbeat sends to all VMs with an open link. This keeps the links to other failure domains from becoming idle.
 func (p *peers) heartbeat(own, foreign *api.PeerMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +172,7 @@
 	}
 }
 
-// inDomain returns the listed entry VMs of a failure domain.
+// inDomain returns the listed entry VMs of a failure domain, without those that are leaving.
 func (p *peers) inDomain(domain zone.DomainID) []machine.EntryVM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +188,7 @@
 // request sends a request to a peer and waits for its reply.
 func (p *peers) request(ctx context.Context, vm string, r *api.Request, timeout time.Duration) (*api.Response, error) {
 	if p.failing(vm) {
-		return nil, fault.Unavailable.New("entry VM %s cannot be reached", vm)
+		return nil, fault.Unavailable.New("entry VM %s is unreachable", vm)
 	}
 	reply := make(chan *api.Response, 1)
 	p.mu.Lock()
@@ -196,7 +198,7 @@
 	}
 	p.nextID++
 	r.Id = p.nextID
-	p.pending[r.Id] = call{vm: vm, reply: reply}
+	p.pending[r.Id] = pendingRequest{vm: vm, reply: reply}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
@@ -224,8 +226,8 @@
 	}
 }
 
-// reply hands a response to the request that waits for it. A late or repeated reply and one from another VM than the
-// request was sent to have no effect.
+// reply delivers a response to its pending request. Late and repeated responses, and responses from a VM other than the
+// one the request was sent to, are ignored.
 func (p *peers) reply(vm string, r *api.Response) {
 	p.mu.Lock()
 	c, ok := p.pending[r.GetId()]
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -19,25 +19,26 @@
 const (
 	quotaShards   = 16
 	quotaInterval = 500 * time.Millisecond
-	// seedingDelay is the time after the start of the process before it may seed shares: by then it has heard from
-	// the members that know of an earlier seeding.
+	// seedingDelay is the time after the start of the process before it may seed shares. It is long enough to receive
+	// heartbeats from members that know of an earlier seeding.
 	seedingDelay = 3 * time.Second
-	// unmetFor is how long a delegate asks for quota that others have asked it for in vain.
-	unmetFor = 2 * time.Second
+	// unmetTTL is how long a delegate includes unmet requests of others in its own demand.
+	unmetTTL = 2 * time.Second
 )
 
-// quotaExchange moves shares of the team quotas between entry VMs. A VM asks the members of its failure domain; the
-// failure domain's delegate also asks the delegates of the others. The shards hold the shares by team.
+// quotaExchange moves shares of team quotas between entry VMs. A VM requests quota from the members of its failure
+// domain; the delegate of the failure domain also requests it from the delegates of the others. The shards hold the
+// shares by team.
 type quotaExchange struct {
 	d       *Daemon
 	shards  [quotaShards]quotaShard
 	started time.Time
 
 	mu sync.Mutex
-	// seeded is one more than the highest quota revision that was seeded in the failure domain, as far as known.
+	// seeded is one more than the highest quota revision known to be seeded in the failure domain.
 	seeded uint64
 	round  int
-	// vms names the VM of each process that was given quota.
+	// vms maps the processes that were given quota to their VMs.
 	vms map[machine.Incarnation]string
 }
 
@@ -49,9 +50,9 @@
 // quotaEntry is this VM's share of a team's quota.
 type quotaEntry struct {
 	share *contract.QuotaShare
-	// unmet is what others have asked for in vain, until it lapses.
-	unmet  int
-	lapses time.Time
+	// unmet is the quota that others requested and did not receive, valid until unmetUntil.
+	unmet      int
+	unmetUntil time.Time
 }
 
 func newQuotaExchange(d *Daemon) *quotaExchange {
@@ -66,7 +67,7 @@
 	return &q.shards[xxhash.Sum64String(k.String())%quotaShards]
 }
 
-// delegate returns the member of a failure domain that asks the other failure domains.
+// delegate returns the member of a failure domain that exchanges quota with the other failure domains.
 func (q *quotaExchange) delegate(domain zone.DomainID) (machine.EntryVM, bool) {
 	vms := q.d.peers.inDomain(domain)
 	if domain == q.d.o.Domain {
@@ -80,7 +81,7 @@
 	return ok && vm.ID == q.d.o.VM.ID
 }
 
-// tick seeds new quotas, sends transfers again that were not acknowledged, and asks for quota.
+// tick seeds new quotas, resends unacknowledged transfers, and requests quota.
 func (q *quotaExchange) tick() {
 	usages := q.d.dispatcher.Teams().Usages()
 	if len(usages) == 0 {
@@ -91,7 +92,7 @@
 	seeding := q.maySeed(delegate)
 	highest := uint64(0)
 	for _, u := range usages {
-		q.adopt(u, seeding)
+		q.updateShare(u, seeding)
 		highest = max(highest, u.Revision+1)
 	}
 	if seeding {
@@ -106,8 +107,8 @@
 	}
 }
 
-// maySeed reports whether this VM seeds the shares of its failure domain: only the delegate, and only once it has
-// heard from all listed members, so that a seeding that they know of is not repeated.
+// maySeed reports whether this VM seeds the shares of its failure domain. Only the delegate does, and only once all
+// listed members have been contacted, so that a seeding known to them is not repeated.
 func (q *quotaExchange) maySeed(delegate bool) bool {
 	if !delegate || q.d.o.Now().Sub(q.started) < seedingDelay {
 		return false
@@ -132,8 +133,8 @@
 	q.seeded = max(q.seeded, f)
 }
 
-// adopt keeps the share at the revision of the quota. Shares of earlier revisions are void.
-func (q *quotaExchange) adopt(u customer.Usage, seeding bool) {
+// updateShare moves the share to the current revision of the quota. Shares of earlier revisions are void.
+func (q *quotaExchange) updateShare(u customer.Usage, seeding bool) {
 	seed := seeding && u.Revision >= q.seededBelow()
 	s := q.shard(u.Key)
 	s.mu.Lock()
@@ -142,30 +143,30 @@
 	if ok && c.share.Revision() == u.Revision && !seed {
 		return
 	}
-	part := 0
+	seededPart := 0
 	if seed {
-		part = q.part(u.Quota)
+		seededPart = q.seededPart(u.Quota)
 	}
-	c = &quotaEntry{share: contract.NewQuotaShare(u.Key.String(), u.Revision, q.d.o.VM.Incarnation, part)}
+	c = &quotaEntry{share: contract.NewQuotaShare(u.Key.String(), u.Revision, q.d.o.VM.Incarnation, seededPart)}
 	s.teams[u.Key] = c
 	if seed {
-		q.divide(c, part)
+		q.divide(c, seededPart)
 	}
 	q.d.dispatcher.SetQuotaShare(u.Key, c.share.Held())
 }
 
-// divide gives the members of the failure domain equal parts of what was seeded. It expects the shard lock to be
-// held; the transfers go out with those that wait for an acknowledgement.
+// divide gives the members of the failure domain equal parts of a seeded share. The shard lock must be held; the
+// transfers are sent by the next resend.
 func (q *quotaExchange) divide(c *quotaEntry, part int) {
 	live := q.d.domain.Live()
 	for _, vm := range live {
-		q.know(vm.ID, vm.Incarnation)
+		q.recordProcess(vm.ID, vm.Incarnation)
 		c.share.Give(vm.Incarnation, part/len(live))
 	}
 }
 
-// domains returns the failure domains that seed shares. Settings without them are divided among the listed ones,
-// which is exact only while all entry VMs have the same list.
+// domains returns the failure domains that seed shares. If the settings name none, these are the listed ones, which is
+// exact only while all entry VMs have the same list.
 func (q *quotaExchange) domains() []uint16 {
 	if d := q.d.dispatcher.Teams().Domains(); len(d) > 0 {
 		return d
@@ -173,8 +174,8 @@
 	return q.d.peers.listedDomains()
 }
 
-// part returns what this failure domain seeds of a quota.
-func (q *quotaExchange) part(quota int) int {
+// seededPart returns the part of a quota that this failure domain seeds.
+func (q *quotaExchange) seededPart(quota int) int {
 	domains := q.domains()
 	for n, id := range domains {
 		if zone.DomainID(id) == q.d.o.Domain {
@@ -184,14 +185,14 @@
 	return 0
 }
 
-// know records on which VM a process runs.
-func (q *quotaExchange) know(vm string, inc machine.Incarnation) {
+// recordProcess records the VM on which a process runs.
+func (q *quotaExchange) recordProcess(vm string, inc machine.Incarnation) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.vms[inc] = vm
 }
 
-// resend sends the transfers that were not acknowledged.
+// resend sends the unacknowledged transfers of a team again.
 func (q *quotaExchange) resend(k customer.TeamKey) {
 	s := q.shard(k)
 	s.mu.Lock()
@@ -232,8 +233,8 @@
 	}
 }
 
-// targets returns whom to ask in this round: one member of the own failure domain in turn, and for the delegate one
-// delegate of another failure domain in turn.
+// targets returns the VMs to ask in this round: the next member of this failure domain and, for the delegate, the next
+// delegate of another failure domain, both round robin.
 func (q *quotaExchange) targets(delegate bool) []string {
 	q.mu.Lock()
 	q.round++
@@ -261,16 +262,16 @@
 	return out
 }
 
-// need returns what this VM has and could use of a team's quota. It expects the shard lock to be held.
+// need returns the quota of a team that this VM holds and its demand. The shard lock must be held.
 func (q *quotaExchange) need(k customer.TeamKey, c *quotaEntry) customer.QuotaNeed {
 	n := customer.QuotaNeed{Held: c.share.Held(), Demand: q.d.dispatcher.TeamDemand(k)}
-	if q.d.o.Now().Before(c.lapses) {
+	if q.d.o.Now().Before(c.unmetUntil) {
 		n.Demand += c.unmet
 	}
 	return n
 }
 
-// ask requests quota that the team's work could use here.
+// ask requests quota for the team if its demand on this VM exceeds the share.
 func (q *quotaExchange) ask(u customer.Usage, targets []string) {
 	s := q.shard(u.Key)
 	s.mu.Lock()
@@ -290,22 +291,22 @@
 	}
 }
 
-// heard handles the quota messages of a peer. It returns false for other messages.
-func (q *quotaExchange) heard(vm string, inc machine.Incarnation, m *api.PeerMessage) bool {
+// handleMessage handles the quota messages of a peer. It returns false for other messages.
+func (q *quotaExchange) handleMessage(vm string, inc machine.Incarnation, m *api.PeerMessage) bool {
 	switch b := m.GetBody().(type) {
 	case *api.PeerMessage_QuotaRequest:
-		q.know(vm, inc)
-		q.give(inc, b.QuotaRequest)
+		q.recordProcess(vm, inc)
+		q.handleRequest(inc, b.QuotaRequest)
 	case *api.PeerMessage_QuotaTransfer:
-		q.take(vm, b.QuotaTransfer)
+		q.handleTransfer(vm, b.QuotaTransfer)
 	default:
 		return false
 	}
 	return true
 }
 
-// give answers a request with a part of the share.
-func (q *quotaExchange) give(to machine.Incarnation, r *api.QuotaRequest) {
+// handleRequest transfers a part of the share to the requesting process.
+func (q *quotaExchange) handleRequest(to machine.Incarnation, r *api.QuotaRequest) {
 	k, ok := customer.ParseTeamKey(r.GetTeam())
 	if !ok {
 		return
@@ -324,7 +325,7 @@
 	if given {
 		q.d.dispatcher.SetQuotaShare(k, c.share.Held())
 	} else if delegate {
-		c.unmet, c.lapses = theirs.Demand-theirs.Held, q.d.o.Now().Add(unmetFor)
+		c.unmet, c.unmetUntil = theirs.Demand-theirs.Held, q.d.o.Now().Add(unmetTTL)
 	}
 	s.mu.Unlock()
 	if given {
@@ -332,8 +333,8 @@
 	}
 }
 
-// take adds a transfer to the share and acknowledges it, or records an acknowledgement.
-func (q *quotaExchange) take(vm string, m *api.QuotaTransfer) {
+// handleTransfer adds a transfer to the share and acknowledges it, or records an acknowledgement.
+func (q *quotaExchange) handleTransfer(vm string, m *api.QuotaTransfer) {
 	k, ok := customer.ParseTeamKey(m.GetTeam())
 	if !ok {
 		return
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -12,8 +12,8 @@
 	"github.com/cicadadale/cicadadale/dispatch"
 )
 
-// Guards against quota that is created or stuck while it moves between entry VMs, through a partition, and against a
-// team that is not served where its work is.
+// Guards against quota that is created or stuck while it moves between entry VMs, also through a partition, and against
+// quota that does not follow a team's demand.
 func TestQuotaFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCluster(t, dispatch.PolicyDefault, 3, 6)
@@ -54,12 +54,12 @@
 			spec.Tasks = append(spec.Tasks, contract.TaskSpec{Kind: shortKind, Payload: payload(8*time.Second, time.Now())})
 		}
 		require.NoError(t, busy.dispatcher.Submit(spec))
-		c.net.sever(func(string, string) bool { return true })
+		c.net.setCut(func(string, string) bool { return true })
 		run(time.Second)
-		c.net.sever(nil)
+		c.net.setCut(nil)
 		run(5 * time.Second)
 		for _, u := range busy.dispatcher.Teams().Usages() {
-			require.GreaterOrEqual(t, u.Share, 18, "the others give what they do not need")
+			require.GreaterOrEqual(t, u.Share, 18, "the other members transfer the quota that they do not need")
 		}
 		run(30 * time.Second)
 		a, _, err := busy.table.Lookup(spec.ID)
@@ -68,7 +68,8 @@
 	})
 }
 
-// Guards against quota that planned stops take out of use: with 1,400 replacements a day the teams would soon have none.
+// Guards against quota that planned stops take out of use: with 1,400 replacements a day the teams would soon have
+// none.
 func TestPlannedStopPassesQuotaOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCluster(t, dispatch.PolicyDefault, 3, 6)
@@ -98,7 +99,7 @@
 		require.Equal(t, 37, held())
 		id := c.vms[0].ID
 		c.members[id].dispatcher.Drain()
-		c.members[id].quotas.passOn(t.Context())
+		c.members[id].quotas.returnQuota(t.Context())
 		for _, u := range c.members[id].dispatcher.Teams().Usages() {
 			require.Zero(t, u.Share)
 		}
--- a/entry/quotareturn.go
+++ b/entry/quotareturn.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// quotaReturnLimit bounds the time that a stopping VM spends on passing its quota on.
-	quotaReturnLimit = 2 * time.Second
-	quotaReturnRetry = 100 * time.Millisecond
-	// quotaReturnKey is hashed with the members' ids to choose who takes the quota of a stopping VM.
+	// quotaReturnTimeout bounds the time that a stopping VM spends on returning its quota.
+	quotaReturnTimeout = 2 * time.Second
+	quotaReturnRetry   = 100 * time.Millisecond
+	// quotaReturnKey is hashed with the members' ids to choose the member that receives the quota of a stopping VM.
 	quotaReturnKey = "quota return/"
 )
 
-// passOn gives the shares of a stopping VM to another member of the failure domain. Without it each planned
+// returnQuota transfers the shares of a stopping VM to another member of the failure domain. Without it each planned
 // replacement would take an eighth of the failure domain's quota of every team out of use, until the quota is changed.
-func (q *quotaExchange) passOn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, quotaReturnLimit)
+func (q *quotaExchange) returnQuota(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, quotaReturnTimeout)
 	defer cancel()
 	t := time.NewTicker(quotaReturnRetry)
 	defer t.Stop()
 	for {
-		if q.giveAll() {
+		if q.transferAll() {
 			return
 		}
 		select {
@@ -35,13 +35,13 @@
 	}
 }
 
-// giveAll sends everything that is held or not acknowledged, and reports whether nothing is left.
-func (q *quotaExchange) giveAll() bool {
+// transferAll sends all shares and unacknowledged transfers, and reports whether none is left.
+func (q *quotaExchange) transferAll() bool {
 	to, ok := q.receiver()
 	if !ok {
 		return true
 	}
-	q.know(to.ID, to.Incarnation)
+	q.recordProcess(to.ID, to.Incarnation)
 	done := true
 	for _, u := range q.d.dispatcher.Teams().Usages() {
 		s := q.shard(u.Key)
@@ -58,7 +58,7 @@
 	return done
 }
 
-// receiver returns the member that takes the quota of this VM.
+// receiver returns the member that receives the quota of this VM.
 func (q *quotaExchange) receiver() (machine.EntryVM, bool) {
 	var others []machine.EntryVM
 	for _, vm := range q.d.domain.Live() {
--- a/entry/readiness_test.go
+++ b/entry/readiness_test.go
@@ -12,7 +12,7 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// Guards against a balancer that sends callers to a VM that is not started, knows no worker, or is stopping.
+// Guards against a load balancer that sends callers to a VM that has not started, knows no worker, or is stopping.
 func TestReadinessFollowsTheDaemon(t *testing.T) {
 	d, err := load.StartDeployment(load.DeploymentOptions{
 		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 2, Services: load.DeploymentServices, Work: standin.DeploymentWork,
--- a/entry/record.go
+++ b/entry/record.go
@@ -9,7 +9,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// recordHandOver records jobs that the successor has acknowledged.
+// recordHandOver records the jobs whose hand-over the successor has acknowledged.
 func (d *Daemon) recordHandOver(specs []contract.JobSpec, successor string) {
 	for _, s := range specs {
 		d.timeline.Record(timeline.Event{
@@ -18,7 +18,7 @@
 	}
 }
 
-// recordClaim records which job id a caller's key is bound to.
+// recordClaim records which job id an idempotency key is bound to.
 func (d *Daemon) recordClaim(minted, bound contract.JobID, err error) {
 	switch {
 	case err != nil:
@@ -29,7 +29,7 @@
 	}
 }
 
-// poll asks a worker for its status and records a change of its incarnation.
+// poll polls the status of a worker and records a change of its incarnation.
 func (d *Daemon) poll(ctx context.Context, w *machine.Worker) (link.WorkerStatus, error) {
 	before := w.Incarnation()
 	s, err := d.workers.Poll(ctx, w, d.o.Now)
@@ -39,7 +39,7 @@
 	return s, err
 }
 
-// recordWorker records that the list shows a worker for the first time or no longer.
+// recordWorker records that a worker has been added to or removed from the list.
 func (d *Daemon) recordWorker(k timeline.Kind, id machine.WorkerID) {
 	d.timeline.Record(timeline.Event{Kind: k, Worker: id})
 }
--- a/entry/recovery_test.go
+++ b/entry/recovery_test.go
@@ -17,8 +17,8 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// site is a deployment whose tasks run until they are released.
-type site struct {
+// blockingDeployment is a deployment whose tasks block until release is closed.
+type blockingDeployment struct {
 	*load.Deployment
 	release chan struct{}
 
@@ -26,9 +26,9 @@
 	started map[string]int
 }
 
-func newSite(t *testing.T, entryVMs int) *site {
+func startBlockingDeployment(t *testing.T, entryVMs int) *blockingDeployment {
 	t.Helper()
-	s := &site{release: make(chan struct{}), started: make(map[string]int)}
+	s := &blockingDeployment{release: make(chan struct{}), started: make(map[string]int)}
 	var err error
 	s.Deployment, err = load.StartDeployment(load.DeploymentOptions{
 		Domains: 1, EntryVMs: entryVMs, Workers: 1, Slots: 2, Services: load.DeploymentServices,
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (s *site) client(t *testing.T, entries ...int) *rpc.Client {
+func (s *blockingDeployment) client(t *testing.T, entries ...int) *rpc.Client {
 	t.Helper()
 	var addresses []string
 	for _, i := range entries {
@@ -63,35 +63,35 @@
 	return c
 }
 
-func (s *site) starts(id contract.JobID) int {
+func (s *blockingDeployment) starts(id contract.JobID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started[contract.TaskID{Job: id}.String()]
 }
 
-func job(id contract.JobID) contract.Submission {
+func oneTaskSubmission(id contract.JobID) contract.Submission {
 	return contract.Submission{
 		Ref: contract.JobRef{ID: id}, Service: "glashaus.v1.Booking", Customer: "c", Team: "t", Deadline: time.Minute,
 		Tasks: []contract.TaskSpec{{Kind: "PriceHire", Payload: []byte(id.String())}},
 	}
 }
 
-// submitted is a job whose answer is awaited by a caller.
-type submitted struct {
+// submittedJob is a job with a caller that waits for its answer.
+type submittedJob struct {
 	id     contract.JobID
 	answer chan contract.Answer
 }
 
-// submit submits n jobs and returns when the home knows them.
-func (s *site) submit(t *testing.T, c *rpc.Client, n int) []submitted {
+// submit submits n jobs and returns once their home knows them.
+func (s *blockingDeployment) submit(t *testing.T, c *rpc.Client, n int) []submittedJob {
 	t.Helper()
-	jobs := make([]submitted, n)
+	jobs := make([]submittedJob, n)
 	for i := range jobs {
 		id, err := c.NewJob(t.Context())
 		require.NoError(t, err)
-		jobs[i] = submitted{id: id, answer: make(chan contract.Answer, 1)}
+		jobs[i] = submittedJob{id: id, answer: make(chan contract.Answer, 1)}
 		go func() {
-			a, err := c.Do(t.Context(), job(id))
+			a, err := c.Do(t.Context(), oneTaskSubmission(id))
 			if err == nil {
 				jobs[i].answer <- a
 			}
@@ -107,7 +107,7 @@
 	return jobs
 }
 
-func (s *site) requireComplete(t *testing.T, jobs []submitted) {
+func (s *blockingDeployment) requireComplete(t *testing.T, jobs []submittedJob) {
 	t.Helper()
 	for _, j := range jobs {
 		a := <-j.answer
@@ -118,12 +118,12 @@
 	}
 }
 
-// Guards against a request that is cut, lost or run twice by a planned stop, also during an outage of the log: jobs that
-// run end at the old home, those that wait at the successor, and both answer callers and later questions.
+// Guards against a job that is lost, run twice or left unanswered by a planned stop, also during an outage of the log.
+// Running jobs complete at the old home, waiting jobs at the successor, and both answer callers and later calls.
 func TestPlannedStopLosesNothing(t *testing.T) {
 	for name, logDown := range map[string]bool{"log up": false, "log down": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, 3)
+			s := startBlockingDeployment(t, 3)
 			s.Platform.SetFaults(standin.PlatformFaults{LogDown: logDown})
 			jobs := s.submit(t, s.client(t, 0, 1, 2), 6)
 			require.Eventually(t, func() bool { return s.Counter(metric.TasksStarted) >= 2 }, 10*time.Second, 5*time.Millisecond)
@@ -147,9 +147,10 @@
 	}
 }
 
-// Guards against lost jobs when VMs are replaced in the same minute: the successor stops while it receives.
+// Guards against jobs that are lost when VMs are replaced at the same time: the successor stops during the hand-over to
+// it.
 func TestSuccessorsStopTogether(t *testing.T) {
-	s := newSite(t, 4)
+	s := startBlockingDeployment(t, 4)
 	jobs := s.submit(t, s.client(t, 0, 1, 2, 3), 6)
 	var stops sync.WaitGroup
 	for _, e := range s.Entries[:3] {
@@ -166,17 +167,17 @@
 	}
 }
 
-// Guards against a guess about the jobs of a crashed entry VM, against different answers at different VMs, and against a
-// second run by resubmission.
-func TestCrashedHomeIsAnsweredAsUnknown(t *testing.T) {
-	s := newSite(t, 3)
+// Guards against a guessed outcome of the jobs of a crashed entry VM, against different answers from different VMs, and
+// against a second run by resubmission.
+func TestJobsOfCrashedHomeAreReportedUnknown(t *testing.T) {
+	s := startBlockingDeployment(t, 3)
 	jobs := s.submit(t, s.client(t, 0), 3)
 	s.Entries[0].Daemon.Kill()
 	close(s.release)
 	for _, other := range []int{1, 2} {
 		c := s.client(t, other)
 		for _, j := range jobs {
-			a, err := c.Do(t.Context(), job(j.id))
+			a, err := c.Do(t.Context(), oneTaskSubmission(j.id))
 			require.NoError(t, err)
 			require.Equal(t, contract.VerdictFailed, a.Verdict)
 			require.Equal(t, contract.OutcomeUnknown, a.Reports[0].Outcome)
@@ -185,28 +186,28 @@
 	}
 }
 
-// Guards against a fresh VM that does not know of a closure, and against a false claim for an id that the closed home
+// Guards against a VM that does not know of a planned stop, and against a wrong answer for an id that the stopped home
 // never accepted.
-func TestRefusalAfterClosureIsProven(t *testing.T) {
-	s := newSite(t, 2)
+func TestRefusalAfterPlannedStopIsProven(t *testing.T) {
+	s := startBlockingDeployment(t, 2)
 	close(s.release)
 	id, err := s.client(t, 0).NewJob(t.Context())
 	require.NoError(t, err)
 	s.Entries[0].Daemon.Stop(context.Background())
-	a, err := s.client(t, 1).Do(t.Context(), job(id))
+	a, err := s.client(t, 1).Do(t.Context(), oneTaskSubmission(id))
 	require.NoError(t, err)
 	require.Equal(t, contract.VerdictRefused, a.Verdict)
 	require.Equal(t, fault.ReasonHomeClosed, a.Reason)
 	require.Zero(t, s.starts(id))
 }
 
-// Guards against a link that breaks on a job of the largest size, whose envelope exceeds the default limit of drpc.
+// Guards against a link that fails on a job of the maximum size, whose envelope exceeds the default limit of drpc.
 func TestLargestJobIsForwarded(t *testing.T) {
-	s := newSite(t, 2)
+	s := startBlockingDeployment(t, 2)
 	close(s.release)
 	id, err := s.client(t, 0).NewJob(t.Context())
 	require.NoError(t, err)
-	large := job(id)
+	large := oneTaskSubmission(id)
 	large.Tasks = nil
 	for range contract.MaxJobBytes / contract.MaxPayloadBytes {
 		large.Tasks = append(large.Tasks, contract.TaskSpec{Kind: "PriceHire", Payload: make([]byte, contract.MaxPayloadBytes)})
--- a/entry/router.go
+++ b/entry/router.go
@@ -16,12 +16,12 @@
 
 const (
 	forwardMargin = time.Second
-	// forwardLimit bounds the time for which a forwarded call may wait.
+	// forwardLimit bounds the wait of a forwarded call.
 	forwardLimit = 30 * time.Second
-	// maxHops bounds the entry VMs that forward a call: to the failure domain, to the home, to its successor, and once
-	// more if the successor stops meanwhile.
+	// maxHops bounds how often a call is forwarded: to the failure domain, to the home, to its successor, and once more
+	// if the successor stops in the meantime.
 	maxHops = 4
-	// domainAttempts is the number of members of a foreign failure domain that a call is offered to.
+	// domainAttempts is the number of members of another failure domain that are tried for a call.
 	domainAttempts = 2
 )
 
@@ -44,18 +44,18 @@
 		return d.submitKeyed(ctx, s, wait)
 	}
 	local := func() (contract.Answer, error) { return d.submitHere(ctx, s, wait) }
-	a, err := d.answer(ctx, s.Ref.ID, wait, local, func() *api.Request {
+	a, err := d.routeAnswer(ctx, s.Ref.ID, wait, local, func() *api.Request {
 		return &api.Request{Body: &api.Request_Submit{Submit: wire.SubmissionTo(s, wait)}}
 	})
-	return concluded(s.Ref.ID, len(s.Tasks), a, err)
+	return answerFromError(s.Ref.ID, len(s.Tasks), a, err)
 }
 
 func (d *Daemon) submitHere(ctx context.Context, s contract.Submission, wait time.Duration) (contract.Answer, error) {
 	if s.Ref.ID.Home != d.o.VM.Incarnation {
-		// Only the home accepts; a successor answers for what was handed over to it.
+		// Only the home accepts jobs; a successor answers for those handed over to it.
 		return d.wait(ctx, s.Ref.ID, wait)
 	}
-	if err := d.configured(); err != nil && d.table.Refuse(s.Ref.ID, fault.Reason(err), err.Error(), d.o.Now()) {
+	if err := d.requireConfiguration(); err != nil && d.table.Refuse(s.Ref.ID, fault.Reason(err), err.Error(), d.o.Now()) {
 		return contract.Answer{}, err
 	}
 	spec := contract.JobSpec{
@@ -86,12 +86,12 @@
 		return contract.Answer{}, err
 	}
 	local := func() (contract.Answer, error) { return d.wait(ctx, r.ID, wait) }
-	a, err := d.answer(ctx, r.ID, wait, local, func() *api.Request {
+	a, err := d.routeAnswer(ctx, r.ID, wait, local, func() *api.Request {
 		return &api.Request{Body: &api.Request_Await{
 			Await: &api.AwaitRequest{Job: wire.RefTo(r), WaitMs: wait.Milliseconds()},
 		}}
 	})
-	return concluded(r.ID, 0, a, err)
+	return answerFromError(r.ID, 0, a, err)
 }
 
 // Cancel implements rpc.Jobs.
@@ -106,10 +106,10 @@
 		}
 		return d.wait(ctx, r.ID, 0)
 	}
-	a, err := d.answer(ctx, r.ID, 0, local, func() *api.Request {
+	a, err := d.routeAnswer(ctx, r.ID, 0, local, func() *api.Request {
 		return &api.Request{Body: &api.Request_Cancel{Cancel: &api.CancelRequest{Job: wire.RefTo(r)}}}
 	})
-	return concluded(r.ID, 0, a, err)
+	return answerFromError(r.ID, 0, a, err)
 }
 
 // Reconfigure implements rpc.Jobs.
@@ -126,7 +126,7 @@
 		d.timeline.Job(timeline.JobReconfigured, r.ID, "", c.Priority)
 		return d.dispatcher.Reconfigure(r.ID, deadline, c.Priority)
 	}
-	return d.progress(ctx, r.ID, local, func() *api.Request {
+	return d.routeProgress(ctx, r.ID, local, func() *api.Request {
 		return &api.Request{Body: &api.Request_Reconfigure{Reconfigure: &api.ReconfigureRequest{
 			Job: wire.RefTo(r), DeadlineMs: c.Deadline.Milliseconds(), Priority: int32(c.Priority),
 		}}}
@@ -140,22 +140,22 @@
 		return contract.JobProgress{}, err
 	}
 	local := func() (contract.JobProgress, error) { return d.table.Progress(r.ID) }
-	return d.progress(ctx, r.ID, local, func() *api.Request {
+	return d.routeProgress(ctx, r.ID, local, func() *api.Request {
 		return &api.Request{Body: &api.Request_Status{Status: &api.StatusRequest{Job: wire.RefTo(r)}}}
 	})
 }
 
-// answer serves a call here or sends it to the entry VM that answers for the job.
-func (d *Daemon) answer(
+// routeAnswer serves a call here or forwards it to the entry VM that answers for the job.
+func (d *Daemon) routeAnswer(
 	ctx context.Context, id contract.JobID, wait time.Duration, local func() (contract.Answer, error),
 	request func() *api.Request,
 ) (contract.Answer, error) {
-	vm, here, err := d.place(ctx, id)
+	vm, here, err := d.locate(ctx, id)
 	if err != nil {
 		return contract.Answer{}, err
 	}
 	if here {
-		a, err := d.final(local())
+		a, err := d.withholdFinal(local())
 		if fault.Code(err) != fault.HandedOver.FullName() {
 			return a, err
 		}
@@ -170,11 +170,11 @@
 	return wire.AnswerFrom(resp.GetAnswer())
 }
 
-// progress is answer for calls that return a job's progress.
-func (d *Daemon) progress(
+// routeProgress is the equivalent of routeAnswer for calls that return a job's progress.
+func (d *Daemon) routeProgress(
 	ctx context.Context, id contract.JobID, local func() (contract.JobProgress, error), request func() *api.Request,
 ) (contract.JobProgress, error) {
-	vm, here, err := d.place(ctx, id)
+	vm, here, err := d.locate(ctx, id)
 	if err != nil {
 		return contract.JobProgress{}, err
 	}
@@ -194,75 +194,77 @@
 	return wire.ProgressFrom(resp.GetStatus(), d.o.Now())
 }
 
-// final withholds an answer of this home that could contradict one given by others; see zone.Homes.
-func (d *Daemon) final(a contract.Answer, err error) (contract.Answer, error) {
+// withholdFinal withholds a final answer of this home that could contradict one given by others; see zone.Homes.
+func (d *Daemon) withholdFinal(a contract.Answer, err error) (contract.Answer, error) {
 	if err == nil && a.Verdict == contract.VerdictPending {
 		return a, nil
 	}
 	if d.fenced.Load() {
-		return contract.Answer{}, fault.With(fault.Lost, "home lost", "this entry VM counts as gone")
+		return contract.Answer{}, fault.With(fault.Lost, "home lost", "other members treat this entry VM as gone")
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
-		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain cannot be reached")
+		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain is unreachable")
 	}
 	return a, err
 }
 
-// place decides where a call is served: here, or at the entry VM vm.
-func (d *Daemon) place(ctx context.Context, id contract.JobID) (vm string, here bool, err error) {
+// locate decides where a call is served: here, or by the entry VM vm. An empty vm means the job's failure domain.
+func (d *Daemon) locate(ctx context.Context, id contract.JobID) (vm string, here bool, err error) {
 	if id.Home == d.o.VM.Incarnation {
 		return "", true, nil
 	}
 	if id.Domain != d.o.Domain {
 		return "", false, nil
 	}
-	if d.table.Adopts(id.Home) && d.adoptedFor(id) {
+	if d.table.Adopts(id.Home) && d.holdsAdopted(id) {
 		return "", true, nil
 	}
 	home := d.homes.Locate(id.Home, d.o.Now())
 	if home.State == zone.HomeSilent {
-		home.State = d.declare(ctx, home)
+		home.State = d.confirmGone(ctx, home)
 	}
 	switch home.State {
 	case zone.HomeRunning:
 		return home.VM, home.Incarnation == d.o.VM.Incarnation, nil
 	case zone.HomeGone:
 		if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
-			// A member that is cut off from the others may have missed the closure of a home that stopped as planned.
-			return "", false, fault.Unavailable.New("the home of job %s is gone; its successor may be out of reach", id)
+			// A member that is cut off from the others may have missed the tombstone of a home after a planned stop.
+			return "", false, fault.Unavailable.New("the home of job %s is gone; its successor may be unreachable", id)
 		}
 		return "", false, fault.With(fault.Lost, fault.ReasonHomeGone, "the home of job %s is gone", id)
 	case zone.HomeSilent:
-		return "", false, fault.Unavailable.New("the home of job %s cannot be reached", id)
+		return "", false, fault.Unavailable.New("the home of job %s is unreachable", id)
 	default:
 		return "", false, d.unknownHome(id)
 	}
 }
 
-// adoptedFor reports whether the table holds a job of an adopted home, which no succession can contradict.
-func (d *Daemon) adoptedFor(id contract.JobID) bool {
+// holdsAdopted reports whether the table has a job of an adopted home, which no succession can contradict.
+func (d *Daemon) holdsAdopted(id contract.JobID) bool {
 	_, _, err := d.table.Lookup(id)
 	return err == nil
 }
 
-// unknownHome explains an id whose home is not known. If all members are known, the home is none of them, and its end
-// is older than what the members remember. All its jobs are answered as unknown, since nothing is proven of them.
+// unknownHome returns the error for a job whose home is not known. If all members are known, the home is not one of
+// them and ended longer ago than the members remember. The outcome of all its jobs is then reported as unknown, because
+// nothing is proven about them.
 func (d *Daemon) unknownHome(id contract.JobID) error {
 	for _, vm := range d.domain.Listed() {
 		if d.homes.Current(vm) == 0 {
-			return fault.Unavailable.New("the home of job %s is not known, nor who runs on entry VM %s", id, vm)
+			return fault.Unavailable.New("the home of job %s and the incarnation on entry VM %s are not known", id, vm)
 		}
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
-		return fault.Unavailable.New("the home of job %s is not known, and the members that may know it cannot be reached", id)
+		return fault.Unavailable.New("the home of job %s is not known, and the members that may know it are unreachable", id)
 	}
 	if d.o.Now().Sub(d.started) < zone.SilenceLimit {
 		return fault.Unavailable.New("the home of job %s is not known yet", id)
 	}
-	return fault.With(fault.Lost, fault.ReasonHomeGone, "the home of job %s is no member of its failure domain any more", id)
+	return fault.With(fault.Lost, fault.ReasonHomeGone,
+		"the home of job %s is no longer a member of its failure domain", id)
 }
 
-// successor returns the VM that answers for the jobs which this one has handed over.
+// successor returns the VM that answers for the jobs handed over by this one.
 func (d *Daemon) successor(id contract.JobID) (string, error) {
 	s, ok := d.handovers.successor()
 	if !ok {
@@ -302,11 +304,10 @@
 	return nil, err
 }
 
-// targets chooses members of a foreign failure domain, those with a failing link last. The order changes with each call:
-// a member whose replies do not get through takes the whole time that a caller waits, and the next call must not meet it
-// again.
+// targets chooses members of another failure domain, those with a failing link last. The order changes with each
+// call: a member whose replies are lost uses up the caller's whole wait, and the next call must not try it first again.
 func (d *Daemon) targets(id contract.JobID) []string {
-	var good, failing []string
+	var reachable, failing []string
 	turn := strconv.FormatUint(d.forwards.Add(1), 10)
 	vms := d.peers.inDomain(id.Domain)
 	for len(vms) > 0 {
@@ -320,15 +321,15 @@
 		if d.peers.failing(best.ID) {
 			failing = append(failing, best.ID)
 		} else {
-			good = append(good, best.ID)
+			reachable = append(reachable, best.ID)
 		}
 	}
-	all := append(good, failing...)
+	all := append(reachable, failing...)
 	return all[:min(len(all), domainAttempts)]
 }
 
-// concluded turns what is proven of a job whose home has ended into an answer.
-func concluded(id contract.JobID, tasks int, a contract.Answer, err error) (contract.Answer, error) {
+// answerFromError converts an error that proves the state of a job whose home has ended into an answer.
+func answerFromError(id contract.JobID, tasks int, a contract.Answer, err error) (contract.Answer, error) {
 	switch fault.Code(err) {
 	case fault.Lost.FullName():
 		return contract.UnknownAnswer(id, tasks, fault.Reason(err), err.Error()), nil
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -21,15 +21,15 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// testHomeVM is a daemon without network whose clock the test moves.
-type testHomeVM struct {
+// testDaemon is a daemon without network, with a clock that the test controls.
+type testDaemon struct {
 	*Daemon
 	now time.Time
 }
 
-func newTestHomeVM(t *testing.T, members ...string) *testHomeVM {
+func newTestDaemon(t *testing.T, members ...string) *testDaemon {
 	t.Helper()
-	h := &testHomeVM{now: time.Unix(1000, 0)}
+	h := &testDaemon{now: time.Unix(1000, 0)}
 	d, err := New(Options{
 		VM: machine.EntryVM{ID: "self"}, Domain: 1, Connections: 8, Log: newFakeLog(), Metrics: metrics.NewRegistry(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Time { return h.now },
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	h.Daemon = d
 	t.Cleanup(d.dispatcher.Close)
-	d.configs.begin(t.Context())
+	d.configs.initialRead(t.Context())
 	w, _ := d.fleet.Upsert(machine.WorkerSpec{ID: "w", Service: "s", Slots: 8, Address: "127.0.0.1:1"})
 	w.ObserveStatus(1, 0, h.now)
 	listings := []zone.Listing{{VM: machine.EntryVM{ID: "self"}, Domain: 1}}
@@ -52,14 +52,15 @@
 	return h
 }
 
-// Guards against a home that comes back from a partition or a pause and contradicts "outcome unknown" given by others.
+// Guards against a home that returns from a partition or a pause and contradicts the "outcome unknown" reported by
+// others.
 func TestHomeWithoutLeaseWithholdsFinalAnswers(t *testing.T) {
-	h := newTestHomeVM(t, "a", "b")
+	h := newTestDaemon(t, "a", "b")
 	ids, err := h.Create(t.Context(), 1)
 	require.NoError(t, err)
 	id := ids[0]
 	_, err = h.Submit(t.Context(), contract.Submission{Ref: contract.JobRef{ID: id}, Service: "s"}, 0)
-	require.True(t, fault.IsProvenNotStarted(err), "a job without tasks")
+	require.True(t, fault.IsProvenNotStarted(err), "a job without tasks is refused")
 	h.now = h.now.Add(zone.SilenceLimit)
 	_, err = h.Await(t.Context(), contract.JobRef{ID: id}, 0)
 	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err))
@@ -73,9 +74,9 @@
 	require.Equal(t, "home lost", a.Reason)
 }
 
-// Guards against a wrong claim about homes: silent but not gone, replaced, and unknown to all members.
+// Guards against wrong answers for the jobs of other homes: silent but not gone, replaced, or unknown to all members.
 func TestCallsForForeignHomes(t *testing.T) {
-	h := newTestHomeVM(t, "a")
+	h := newTestDaemon(t, "a")
 	ask := func(home machine.Incarnation) (contract.Answer, error) {
 		return h.Submit(t.Context(), contract.Submission{
 			Ref: contract.JobRef{ID: contract.JobID{Domain: 1, Home: home, Seq: 1}}, Tasks: make([]contract.TaskSpec, 2),
@@ -83,7 +84,7 @@
 	}
 	h.now = h.now.Add(zone.SilenceLimit)
 	_, err := ask(1)
-	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err), "silence alone proves nothing")
+	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err), "a silent home is not proven gone")
 	forgotten, err := ask(99)
 	require.NoError(t, err)
 	require.Equal(t, contract.VerdictFailed, forgotten.Verdict)
@@ -98,9 +99,9 @@
 	}
 }
 
-// Guards against calls that circle between VMs or failure domains.
+// Guards against calls that are forwarded in a loop between VMs or failure domains.
 func TestForwardingIsBounded(t *testing.T) {
-	h := newTestHomeVM(t, "a")
+	h := newTestDaemon(t, "a")
 	h.peers.applyList([]platform.VM{{ID: "b", Kind: platform.KindEntry, Domain: 2}})
 	defer h.peers.close()
 	id := contract.JobID{Domain: 2, Home: 5, Seq: 1}
@@ -108,10 +109,10 @@
 	require.ErrorContains(t, err, "forwarded 4 times")
 }
 
-// Guards against a second start of a handed-over job by a part that arrives twice, out of order, or at another
-// incarnation than it was meant for.
+// Guards against a second start of a handed-over job because a part arrives twice, out of order, or at an incarnation
+// that it was not addressed to.
 func TestHandOverPartsApplyOnce(t *testing.T) {
-	h := newTestHomeVM(t, "a")
+	h := newTestDaemon(t, "a")
 	waiting := func(seq uint64) *api.HandOverJob {
 		return &api.HandOverJob{RemainingMs: 60000, Job: wire.SubmissionTo(contract.Submission{
 			Ref: contract.JobRef{ID: contract.JobID{Domain: 1, Home: 1, Seq: seq}}, Service: "s",
@@ -143,7 +144,7 @@
 
 // Guards against a refused submission whose late copy is accepted and run.
 func TestRefusalBindsLateCopies(t *testing.T) {
-	h := newTestHomeVM(t)
+	h := newTestDaemon(t)
 	ids, err := h.Create(t.Context(), 1)
 	require.NoError(t, err)
 	good := contract.Submission{
@@ -159,11 +160,11 @@
 	require.Zero(t, h.table.Unfinished())
 }
 
-// Guards against replies that are mixed up: late, repeated, or from another VM than the one that was asked.
+// Guards against replies that reach the wrong request: late, repeated, or from another VM than the one that was asked.
 func TestRepliesReachOnlyTheirRequest(t *testing.T) {
-	h := newTestHomeVM(t, "a")
+	h := newTestDaemon(t, "a")
 	reply := make(chan *api.Response, 1)
-	h.peers.pending[1] = call{vm: "a", reply: reply}
+	h.peers.pending[1] = pendingRequest{vm: "a", reply: reply}
 	h.peers.reply("b", &api.Response{Id: 1})
 	h.peers.reply("a", &api.Response{Id: 2})
 	require.Empty(t, reply)
@@ -172,53 +173,53 @@
 	require.Len(t, reply, 1)
 }
 
-// Guards against idle grants that a process still uses after a pause longer than their life.
-func TestPauseIsNoticed(t *testing.T) {
-	var l lapse
+// Guards against idle grants that are used after a pause longer than their TTL.
+func TestPauseIsDetected(t *testing.T) {
+	var l pauseDetector
 	now := time.Unix(1000, 0)
-	notices := 0
-	stale := func(at time.Time) bool { return l.alive(at, func(time.Duration) { notices++ }) }
+	pauses := 0
+	stale := func(at time.Time) bool { return l.observe(at, func(time.Duration) { pauses++ }) }
 	require.False(t, stale(now))
-	require.False(t, stale(now.Add(lapseLimit)))
-	require.True(t, stale(now.Add(3*lapseLimit)))
-	require.True(t, stale(now.Add(3*lapseLimit)), "the grants from before the pause are still held")
-	require.Equal(t, 1, notices)
-	l.dropped()
-	require.False(t, stale(now.Add(3*lapseLimit)))
+	require.False(t, stale(now.Add(pauseThreshold)))
+	require.True(t, stale(now.Add(3*pauseThreshold)))
+	require.True(t, stale(now.Add(3*pauseThreshold)), "the grants from before the pause are still held")
+	require.Equal(t, 1, pauses)
+	l.grantsDropped()
+	require.False(t, stale(now.Add(3*pauseThreshold)))
 }
 
-// Guards against a closure that is lost because the log was out when its home stopped, and a fresh VM that learns of it
-// from the log only.
-func TestSuccessorAppendsClosureAfterOutage(t *testing.T) {
+// Guards against a tombstone that is lost because the log was unavailable when its home stopped, and against a new VM
+// that does not learn of it from the log.
+func TestSuccessorAppendsTombstoneAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h, fresh := newTestHomeVM(t, "a"), newTestHomeVM(t)
+		h, fresh := newTestDaemon(t, "a"), newTestDaemon(t)
 		l := h.o.Log.(*fakeLog)
-		fresh.closures.d.o.Log = l
+		fresh.tombstones.d.o.Log = l
 		l.set(func(l *fakeLog) { l.down = true })
-		h.closures.start(ctx)
-		fresh.closures.start(ctx)
-		h.closureFrom(&api.Closure{
+		h.tombstones.start(ctx)
+		fresh.tombstones.start(ctx)
+		h.receiveTombstone(&api.Closure{
 			Incarnation: 1, Vm: "a", SuccessorIncarnation: uint64(h.o.VM.Incarnation), SuccessorVm: "self", Domain: 1,
 			Complete: true, Unlogged: true,
 		})
 		time.Sleep(5 * time.Second)
-		require.Empty(t, l.streams[closureStream])
+		require.Empty(t, l.streams[tombstoneStream])
 		require.Equal(t, zone.HomeUnknown, fresh.homes.Locate(1, fresh.now).State)
 		l.set(func(l *fakeLog) { l.down = false })
-		time.Sleep(closureRead + 5*time.Second)
-		require.Len(t, l.streams[closureStream], 1)
+		time.Sleep(tombstoneReadInterval + 5*time.Second)
+		require.Len(t, l.streams[tombstoneStream], 1)
 		require.Equal(t, h.o.VM.Incarnation, fresh.homes.Locate(1, fresh.now).Incarnation)
 		cancel()
-		h.closures.wait()
-		fresh.closures.wait()
+		h.tombstones.wait()
+		fresh.tombstones.wait()
 	})
 }
 
-// Guards against a caller that meets the same member of a foreign failure domain at each attempt, one whose replies do
-// not get through (soak seed 118: no answer after 12 attempts).
-func TestForeignTargetsChange(t *testing.T) {
-	h := newTestHomeVM(t)
+// Guards against trying the same member of another failure domain first at each attempt when its replies are lost (soak
+// seed 118: no answer after 12 attempts).
+func TestForwardTargetsRotate(t *testing.T) {
+	h := newTestDaemon(t)
 	h.peers.applyList([]platform.VM{
 		{ID: "x", Kind: platform.KindEntry, Domain: 2}, {ID: "y", Kind: platform.KindEntry, Domain: 2},
 		{ID: "z", Kind: platform.KindEntry, Domain: 2},
@@ -232,17 +233,17 @@
 	require.Len(t, first, 3)
 }
 
-// Guards against a member that is cut off from the others and answers for the jobs of a planned stop as lost, because the
-// closure has not reached it (soak seeds 51 and 110).
-func TestCutOffMemberDeclaresNothingLost(t *testing.T) {
-	h := newTestHomeVM(t, "a", "b")
+// Guards against an isolated member that reports the jobs of a planned stop as lost because the tombstone has not
+// reached it (soak seeds 51 and 110).
+func TestIsolatedMemberDoesNotReportJobsLost(t *testing.T) {
+	h := newTestDaemon(t, "a", "b")
 	id := contract.JobID{Domain: 1, Home: 77, Seq: 1}
 	h.homes.Ended("stopped", id.Home, h.now)
-	_, _, err := h.place(t.Context(), id)
+	_, _, err := h.locate(t.Context(), id)
 	require.Equal(t, fault.Lost.FullName(), fault.Code(err))
 	h.now = h.now.Add(zone.SilenceLimit)
-	_, _, err = h.place(t.Context(), id)
+	_, _, err = h.locate(t.Context(), id)
 	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err))
-	_, _, err = h.place(t.Context(), contract.JobID{Domain: 1, Home: 78, Seq: 1})
-	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err), "a home that nobody has named yet")
+	_, _, err = h.locate(t.Context(), contract.JobID{Domain: 1, Home: 78, Seq: 1})
+	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err), "a home that no member has reported yet")
 }
--- a/entry/slotmessages.go
+++ b/entry/slotmessages.go
@@ -9,83 +9,85 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// handleSlots handles the messages of slot allocation. It reports whether m is one.
-func (s *slotDirectory) handleSlots(vm string, inc machine.Incarnation, m *api.PeerMessage) bool {
+// handleSlots handles the messages of slot allocation. It returns false for other messages.
+func (s *slotBroker) handleSlots(vm string, inc machine.Incarnation, m *api.PeerMessage) bool {
 	switch b := m.GetBody().(type) {
 	case *api.PeerMessage_Heartbeat:
 		for _, status := range b.Heartbeat.GetSlots() {
-			s.statusFrom(vm, status, false)
+			s.handleStatus(vm, status, false)
 		}
 	case *api.PeerMessage_SlotStatus:
-		s.statusFrom(vm, b.SlotStatus, true)
+		s.handleStatus(vm, b.SlotStatus, true)
 	case *api.PeerMessage_Demand:
-		s.demandFrom(vm, b.Demand)
+		s.handleDemand(vm, b.Demand)
 	case *api.PeerMessage_Grant:
-		s.grantFrom(vm, inc, b.Grant)
+		s.handleGrant(vm, inc, b.Grant)
 	case *api.PeerMessage_Return:
-		s.returnFrom(vm, b.Return)
+		s.handleReturn(vm, b.Return)
 	case *api.PeerMessage_Recall:
-		s.d.dispatcher.Recall(b.Recall.GetService(), vm, int(b.Recall.GetSlots()), wait(b.Recall.GetOldestWaitMs()))
+		s.d.dispatcher.Recall(b.Recall.GetService(), vm, int(b.Recall.GetSlots()), fromMillis(b.Recall.GetOldestWaitMs()))
 	case *api.PeerMessage_HoldingsRequest:
-		s.holdingsRequested(vm, b.HoldingsRequest.GetService())
+		s.handleHoldingsRequest(vm, b.HoldingsRequest.GetService())
 	case *api.PeerMessage_HoldingsReport:
 		r := b.HoldingsReport
 		st := s.service(r.GetService())
-		s.deliver(st, st.granter.Report(vm, heldFrom(r.GetHeld()), r.GetReceived(), r.GetComplete(), s.d.o.Now()))
+		s.deliver(st, st.allocator.Report(vm, heldFrom(r.GetHeld()), r.GetReceived(), r.GetComplete(), s.d.o.Now()))
 	default:
 		return false
 	}
 	return true
 }
 
-func wait(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// statusFrom records what a member could grant and how long its work waits. A demand that waits may move to it, or
-// away from it when it has nothing left.
-func (s *slotDirectory) statusFrom(vm string, m *api.SlotStatus, reply bool) {
+// handleStatus records the free slots of a member and the wait of its oldest work. Unmet demand may then move to the
+// member, or away from it if it has no free slots left.
+func (s *slotBroker) handleStatus(vm string, m *api.SlotStatus, reply bool) {
 	if m == nil {
 		return
 	}
 	now := s.d.o.Now()
 	st := s.service(m.GetService())
-	st.granter.Observe(vm, wait(m.GetOldestWaitMs()), now)
+	st.allocator.Observe(vm, fromMillis(m.GetOldestWaitMs()), now)
 	if reply {
 		st.planner.Hint(vm, int(m.GetFree()), now)
 	} else {
 		st.planner.Overheard(vm, int(m.GetFree()), now)
 	}
-	l, ok := s.d.dispatcher.Lane(st.name)
+	sched, ok := s.d.dispatcher.Lane(st.name)
 	if !ok {
 		return
 	}
 	st.mu.Lock()
 	var own []zone.Allocation
 	if st.need.Short+st.need.Long > 0 {
-		st.need = l.Demand(now)
-		own = s.ask(st, now)
+		st.need = sched.Demand(now)
+		own = s.planDemand(st, now)
 	}
 	st.mu.Unlock()
-	s.deliverAsked(st, own)
+	s.deliverOwn(st, own)
 }
 
-// demandFrom grants what is free. A member that gets nothing is told so, as it may know of free slots elsewhere.
-func (s *slotDirectory) demandFrom(vm string, m *api.Demand) {
+// handleDemand grants free slots. A member that receives none is sent the status instead, as it may know of free slots
+// elsewhere.
+func (s *slotBroker) handleDemand(vm string, m *api.Demand) {
 	now := s.d.o.Now()
 	st := s.service(m.GetStatus().GetService())
 	st.planner.Overheard(vm, int(m.GetStatus().GetFree()), now)
-	allocations := st.granter.Demand(vm, zone.Need{
+	allocations := st.allocator.Demand(vm, zone.Need{
 		Tasks:     zone.Count{Short: int(m.GetShortTasks()), Long: int(m.GetLongTasks())},
-		ShortWait: wait(m.GetStatus().GetOldestWaitMs()), LongWait: wait(m.GetOldestLongWaitMs()),
+		ShortWait: fromMillis(m.GetStatus().GetOldestWaitMs()), LongWait: fromMillis(m.GetOldestLongWaitMs()),
 		Received: m.GetReceived(),
 	}, now)
-	// The part asked of this granter may be none while the member waits for others.
-	st.granter.Observe(vm, wait(m.GetStatus().GetOldestWaitMs()), now)
+	// A member that waits for other allocators may demand nothing of this one, so its wait is recorded separately.
+	st.allocator.Observe(vm, fromMillis(m.GetStatus().GetOldestWaitMs()), now)
 	s.deliver(st, allocations)
 	st.mu.Lock()
 	st.demandedAt = now
 	var status *api.SlotStatus
-	if len(allocations) == 0 && m.GetShortTasks()+m.GetLongTasks() > 0 && now.Sub(st.replied[vm]) >= statusReplyInterval {
-		st.replied[vm] = now
+	if len(allocations) == 0 && m.GetShortTasks()+m.GetLongTasks() > 0 &&
+		now.Sub(st.statusSentAt[vm]) >= statusReplyInterval {
+		st.statusSentAt[vm] = now
 		status = s.status(st)
 	}
 	st.mu.Unlock()
@@ -95,22 +97,22 @@
 	s.recall(st)
 }
 
-func (s *slotDirectory) returnFrom(vm string, m *api.Return) {
+func (s *slotBroker) handleReturn(vm string, m *api.Return) {
 	now := s.d.o.Now()
 	st := s.service(m.GetStatus().GetService())
-	s.deliver(st, st.granter.Return(vm, heldFrom(m.GetSlots()), now))
-	s.deliver(st, st.granter.Reject(vm, heldFrom(m.GetRejected()), now))
-	s.statusFrom(vm, m.GetStatus(), false)
+	s.deliver(st, st.allocator.Return(vm, heldFrom(m.GetSlots()), now))
+	s.deliver(st, st.allocator.Reject(vm, heldFrom(m.GetRejected()), now))
+	s.handleStatus(vm, m.GetStatus(), false)
 }
 
-func (s *slotDirectory) grantFrom(vm string, inc machine.Incarnation, m *api.Grant) {
+func (s *slotBroker) handleGrant(vm string, inc machine.Incarnation, m *api.Grant) {
 	st := s.service(m.GetStatus().GetService())
 	var grants []contract.SlotGrant
 	var sum zone.Count
 	for _, c := range m.GetSlots() {
 		g := contract.SlotGrant{
 			Service: st.name, Worker: machine.WorkerID(c.GetWorker()), Short: int(c.GetShortSlots()),
-			Long: int(c.GetLongSlots()), Epoch: uint64(inc), TTL: wait(m.GetTtlMs()),
+			Long: int(c.GetLongSlots()), Epoch: uint64(inc), TTL: fromMillis(m.GetTtlMs()),
 		}
 		sum.Short += g.Short
 		sum.Long += g.Long
@@ -119,47 +121,48 @@
 	s.counters.received.Inc(int64(sum.Sum()))
 	st.mu.Lock()
 	st.planner.Granted(vm, sum, m.GetNumber())
-	st.deliver(sum, 1)
+	st.addDelivering(sum, 1)
 	st.mu.Unlock()
 	s.d.dispatcher.Grant(st.name, grants)
 	st.mu.Lock()
-	st.deliver(sum, -1)
+	st.addDelivering(sum, -1)
 	st.mu.Unlock()
-	s.statusFrom(vm, m.GetStatus(), true)
+	s.handleStatus(vm, m.GetStatus(), true)
 }
 
-// holdingsRequested answers a new granter with all holdings: this VM may not know yet which workers it took over.
-func (s *slotDirectory) holdingsRequested(vm, service string) {
-	l, ok := s.d.dispatcher.Lane(service)
+// handleHoldingsRequest reports all holdings to a new allocator, because this VM may not know yet which workers it took
+// over.
+func (s *slotBroker) handleHoldingsRequest(vm, service string) {
+	sched, ok := s.d.dispatcher.Lane(service)
 	if !ok {
 		return
 	}
 	st := s.service(service)
 	received := st.planner.Received(vm)
-	s.sendReport(st, vm, zoneHeld(l.Held()), received, true)
+	s.sendReport(st, vm, zoneHeld(sched.Held()), received, true)
 }
 
-// returnGroup are the returns of one service to one granter.
+// returnGroup holds the returns of one service to one allocator.
 type returnGroup struct {
-	service  string
-	granter  string
-	returned []zone.Held
-	rejected []zone.Held
-	unused   int
+	service   string
+	allocator string
+	returned  []zone.Held
+	rejected  []zone.Held
+	unused    int
 }
 
-func groupReturns(returns []contract.SlotReturn, granter func(machine.WorkerID) string) []*returnGroup {
+func groupReturns(returns []contract.SlotReturn, allocator func(machine.WorkerID) string) []*returnGroup {
 	var groups []*returnGroup
 	for _, r := range returns {
-		name := granter(r.Worker)
+		name := allocator(r.Worker)
 		var group *returnGroup
 		for _, g := range groups {
-			if g.granter == name && g.service == r.Service {
+			if g.allocator == name && g.service == r.Service {
 				group = g
 			}
 		}
 		if group == nil {
-			group = &returnGroup{service: r.Service, granter: name}
+			group = &returnGroup{service: r.Service, allocator: name}
 			groups = append(groups, group)
 		}
 		held := zone.Held{Worker: r.Worker, Slots: zone.Count{Short: r.Short, Long: r.Long}}
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -9,36 +9,37 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// renew reports the holdings to their granters and checks the counts.
-func (s *slotDirectory) renew() {
+// renewHoldings reports the holdings to their allocators and checks the slot counts.
+func (s *slotBroker) renewHoldings() {
 	now := s.d.o.Now()
 	live := make(map[string]bool)
 	for _, vm := range s.d.domain.Live() {
 		live[vm.ID] = true
 	}
-	for _, l := range s.d.dispatcher.Lanes() {
-		st := s.service(l.Service().Name())
-		s.report(st, l, now)
-		// A granter that is not heard may have let the grants lapse.
-		l.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Granter(w)] })
-		s.check(st, l)
+	for _, sched := range s.d.dispatcher.Lanes() {
+		st := s.service(sched.Service().Name())
+		s.reportHoldings(st, sched, now)
+		// An allocator without contact may have let the grants expire.
+		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Granter(w)] })
+		s.checkInvariants(st, sched)
 	}
 }
 
-// report sends each granter what is held of its workers. A granter of which nothing is held any more is told once.
-func (s *slotDirectory) report(st *serviceSlots, l *dispatch.Lane, now time.Time) {
+// reportHoldings reports to each allocator the slots held on its workers. An allocator whose slots are no longer held
+// receives one last report.
+func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Lane, now time.Time) {
 	self := s.d.o.VM.ID
-	byGranter := make(map[string][]zone.Held)
+	byAllocator := make(map[string][]zone.Held)
 	st.mu.Lock()
 	for name := range st.reported {
-		byGranter[name] = nil
+		byAllocator[name] = nil
 	}
 	st.reported = make(map[string]bool)
 	received := make(map[string]uint64)
-	for name := range byGranter {
+	for name := range byAllocator {
 		received[name] = st.planner.Received(name)
 	}
-	for _, h := range zoneHeld(l.Held()) {
+	for _, h := range zoneHeld(sched.Held()) {
 		name := s.Granter(h.Worker)
 		if name == "" {
 			continue
@@ -46,33 +47,33 @@
 		if _, ok := received[name]; !ok {
 			received[name] = st.planner.Received(name)
 		}
-		byGranter[name] = append(byGranter[name], h)
+		byAllocator[name] = append(byAllocator[name], h)
 		st.reported[name] = true
 	}
 	var own []zone.Allocation
-	if now.Before(st.healUntil) {
-		own = st.granter.Report(self, byGranter[self], received[self], false, now)
+	if now.Before(st.reconcileUntil) {
+		own = st.allocator.Report(self, byAllocator[self], received[self], false, now)
 	}
 	st.mu.Unlock()
 	s.deliver(st, own)
-	for name, held := range byGranter {
+	for name, held := range byAllocator {
 		if name != self {
 			s.sendReport(st, name, held, received[name], false)
 		}
 	}
 }
 
-func (s *slotDirectory) sendReport(st *serviceSlots, vm string, held []zone.Held, received uint64, complete bool) {
+func (s *slotBroker) sendReport(st *serviceSlots, vm string, held []zone.Held, received uint64, complete bool) {
 	s.d.peers.send(vm, &api.PeerMessage{Body: &api.PeerMessage_HoldingsReport{HoldingsReport: &api.HoldingsReport{
 		Service: st.name, Held: slotCounts(held), Received: received, Complete: complete,
 	}}})
 }
 
-// check counts the invariant checks of a service.
-func (s *slotDirectory) check(st *serviceSlots, l *dispatch.Lane) {
-	c := st.granter.TakeChecks()
+// checkInvariants counts the invariant checks of a service.
+func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Lane) {
+	c := st.allocator.TakeChecks()
 	c.Made++
-	if !l.Check() {
+	if !sched.Check() {
 		c.Violated++
 	}
 	s.counters.checks.Inc(c.Made)
@@ -82,8 +83,8 @@
 	}
 }
 
-// heard takes back the slots of a member whose process was replaced, and forgets what was asked of it.
-func (s *slotDirectory) heard(vm string, inc machine.Incarnation) {
+// observeIncarnation takes back the slots of a member whose process was replaced, and resets the demand sent to it.
+func (s *slotBroker) observeIncarnation(vm string, inc machine.Incarnation) {
 	s.mu.Lock()
 	before := s.incarnations[vm].incarnation
 	if before != inc {
@@ -95,8 +96,8 @@
 	}
 }
 
-// memberChanged follows the state of a member.
-func (s *slotDirectory) memberChanged(c zone.Change) {
+// memberChanged handles a state change of a member.
+func (s *slotBroker) memberChanged(c zone.Change) {
 	if s.placement != nil {
 		return
 	}
@@ -105,15 +106,15 @@
 		s.memberGone(c.VM.ID)
 	case zone.MemberSuspect:
 		for _, st := range s.all() {
-			st.granter.Suspend(c.VM.ID)
+			st.allocator.Suspend(c.VM.ID)
 		}
 	case zone.MemberLive:
 		s.rejoin(c.VM.ID)
 	}
 }
 
-// rejoin asks a member that responds again for its holdings, unless its process is new.
-func (s *slotDirectory) rejoin(vm string) {
+// rejoin requests the holdings of a member that responds again, unless its process is new.
+func (s *slotBroker) rejoin(vm string) {
 	s.mu.Lock()
 	process := s.incarnations[vm]
 	fresh := process.fresh
@@ -124,21 +125,21 @@
 		return
 	}
 	for _, st := range s.all() {
-		st.granter.Rejoin(vm, s.d.o.Now())
+		st.allocator.Rejoin(vm, s.d.o.Now())
 		s.requestHoldings(st, vm)
 	}
 }
 
-func (s *slotDirectory) requestHoldings(st *serviceSlots, vm string) {
+func (s *slotBroker) requestHoldings(st *serviceSlots, vm string) {
 	s.d.peers.send(vm, &api.PeerMessage{Body: &api.PeerMessage_HoldingsRequest{
 		HoldingsRequest: &api.HoldingsRequest{Service: st.name},
 	}})
 }
 
-// memberGone takes back the slots that a lost member held.
-func (s *slotDirectory) memberGone(vm string) {
+// memberGone takes back the slots held by a member that is gone.
+func (s *slotBroker) memberGone(vm string) {
 	for _, st := range s.all() {
 		st.planner.Reset(vm)
-		s.deliver(st, st.granter.MemberGone(vm, s.d.o.Now()))
+		s.deliver(st, st.allocator.MemberGone(vm, s.d.o.Now()))
 	}
 }
