--- a/entry/slots.go
+++ b/entry/slots.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// slotInterval spaces the granters' housekeeping: lapsed grants, ends of takeovers, recalls.
+	// slotInterval is the interval of the allocators' periodic work: expired grants, ends of takeovers, recalls.
 	slotInterval = 50 * time.Millisecond
-	// renewInterval spaces the reports of holdings; two may be lost before a grant lapses.
+	// renewInterval is the interval between reports of holdings. Two may be lost before a grant expires.
 	renewInterval = zone.GrantTTL / 3
-	// statusReplyInterval spaces the replies to demands that could not be served.
+	// statusReplyInterval is the minimum interval between replies to demands that could not be met.
 	statusReplyInterval = 100 * time.Millisecond
-	// healFor is how long after a takeover the own holdings are reported to the own granter: a return may have crossed
-	// the takeover.
-	healFor = 3 * time.Second
+	// reconcileFor is how long after a takeover the local holdings are reported to the local allocator, because a
+	// return may have crossed the takeover.
+	reconcileFor = 3 * time.Second
 )
 
-// slotDirectory knows the granter of each worker and carries demands, grants and returns between this VM's lanes and
-// the granters. mu guards the maps; the assignment is an immutable snapshot.
-type slotDirectory struct {
+// slotBroker knows the allocator of each worker: the entry VM that leases its slots to the others. It exchanges
+// demands, grants (leases of slots) and returns between the service schedulers of this VM and the allocators. mu guards
+// the maps; the assignment is an immutable snapshot.
+type slotBroker struct {
 	d          *Daemon
 	placement  *dispatch.Placement
 	assignment atomic.Pointer[map[machine.WorkerID]string]
@@ -41,31 +42,31 @@
 	incarnations map[string]memberProcess
 }
 
-// memberProcess is the process that was last heard on a member.
+// memberProcess is the last process that a member was contacted under.
 type memberProcess struct {
 	incarnation machine.Incarnation
-	// fresh is set until the process counts as live for the first time. It can hold no slots before.
+	// fresh is set until the process becomes live for the first time. It cannot hold slots before that.
 	fresh bool
 }
 
-// serviceSlots are the granter and the planner of one service. mu guards the fields below it and is taken before the
-// locks of both; it keeps demands in the order in which the lane stated them.
+// serviceSlots holds the allocator and the demand planner of one service. mu guards the fields below it and is acquired
+// before the locks of both. It keeps demands in the order in which the scheduler issued them.
 type serviceSlots struct {
-	name    string
-	granter *zone.Granter
-	planner *zone.DemandPlanner
+	name      string
+	allocator *zone.Granter
+	planner   *zone.DemandPlanner
 
 	mu   sync.Mutex
 	need contract.SlotDemand
-	// delivering counts the slots granted for the demand that the lane has not received yet. They must not be asked for
-	// again.
+	// delivering counts the slots granted for the demand that the scheduler has not received yet. They must not be
+	// requested again.
 	delivering zone.Count
-	// announced is the number of free slots that the members were last told.
-	announced  int
-	demandedAt time.Time
-	replied    map[string]time.Time
-	reported   map[string]bool
-	healUntil  time.Time
+	// lastAnnounced is the number of free slots last reported to the members.
+	lastAnnounced  int
+	demandedAt     time.Time
+	statusSentAt   map[string]time.Time
+	reported       map[string]bool
+	reconcileUntil time.Time
 }
 
 type slotCounters struct {
@@ -73,9 +74,9 @@
 	checks, violations                                  metrics.Counter
 }
 
-func newSlotDirectory(d *Daemon) *slotDirectory {
+func newSlotBroker(d *Daemon) *slotBroker {
 	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, d.o.Metrics) }
-	s := &slotDirectory{
+	s := &slotBroker{
 		d: d, placement: dispatch.NewPlacement(d.o.Policy, uint64(d.o.VM.Incarnation)),
 		services: make(map[string]*serviceSlots), incarnations: make(map[string]memberProcess),
 		counters: slotCounters{
@@ -88,22 +89,22 @@
 	return s
 }
 
-func (s *slotDirectory) service(name string) *serviceSlots {
+func (s *slotBroker) service(name string) *serviceSlots {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st, ok := s.services[name]
 	if !ok {
 		self := s.d.o.VM.ID
 		st = &serviceSlots{
-			name: name, granter: zone.NewGranter(self, uint64(s.d.o.VM.Incarnation)), planner: zone.NewDemandPlanner(self),
-			replied: make(map[string]time.Time), reported: make(map[string]bool),
+			name: name, allocator: zone.NewGranter(self, uint64(s.d.o.VM.Incarnation)), planner: zone.NewDemandPlanner(self),
+			statusSentAt: make(map[string]time.Time), reported: make(map[string]bool),
 		}
 		s.services[name] = st
 	}
 	return st
 }
 
-func (s *slotDirectory) all() []*serviceSlots {
+func (s *slotBroker) all() []*serviceSlots {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*serviceSlots, 0, len(s.services))
@@ -114,17 +115,17 @@
 }
 
 // Granter implements dispatch.SlotBroker.
-func (s *slotDirectory) Granter(w machine.WorkerID) string {
+func (s *slotBroker) Granter(w machine.WorkerID) string {
 	return (*s.assignment.Load())[w]
 }
 
 // Scarce implements dispatch.SlotBroker.
-func (s *slotDirectory) Scarce(service string) bool {
+func (s *slotBroker) Scarce(service string) bool {
 	return s.service(service).planner.Scarce(s.d.o.Now())
 }
 
-// reassign takes over the workers whose granter this VM is now, and drops the others.
-func (s *slotDirectory) reassign() {
+// reassign assigns to the local allocator the workers that now belong to this VM, and removes the others.
+func (s *slotBroker) reassign() {
 	workers := s.d.fleet.All()
 	if s.placement != nil {
 		s.placement.SetWorkers(placementWorkers(workers))
@@ -153,14 +154,14 @@
 		}
 	}
 	s.assignment.Store(&assignment)
-	for _, l := range s.d.dispatcher.Lanes() {
-		name := l.Service().Name()
-		s.assign(s.service(name), l, offers[name], slots[name])
+	for _, sched := range s.d.dispatcher.Lanes() {
+		name := sched.Service().Name()
+		s.assign(s.service(name), sched, offers[name], slots[name])
 	}
 }
 
-// candidates returns the members that may be granters. An entry VM that drains hands its workers over.
-func (s *slotDirectory) candidates() []machine.EntryVM {
+// candidates returns the members that may be allocators. A draining entry VM excludes itself.
+func (s *slotBroker) candidates() []machine.EntryVM {
 	live := s.d.domain.Live()
 	if !s.d.dispatcher.Draining() {
 		return live
@@ -186,18 +187,18 @@
 	return out
 }
 
-// assign gives a service's granter its workers and asks the members for their holdings if there are new ones.
-func (s *slotDirectory) assign(st *serviceSlots, l *dispatch.Lane, offers []zone.Offer, slots map[string]int) {
+// assign sets the workers of a service's allocator. If there are new ones, it requests the members' holdings.
+func (s *slotBroker) assign(st *serviceSlots, sched *dispatch.Lane, offers []zone.Offer, slots map[string]int) {
 	now := s.d.o.Now()
 	others := s.d.domain.Present()
 	st.planner.SetGranters(slots)
 	st.mu.Lock()
-	taken := st.granter.Assign(offers, zoneHeld(l.Held()), others, now)
-	if taken {
-		st.healUntil = now.Add(healFor)
+	tookOver := st.allocator.Assign(offers, zoneHeld(sched.Held()), others, now)
+	if tookOver {
+		st.reconcileUntil = now.Add(reconcileFor)
 	}
 	st.mu.Unlock()
-	if !taken {
+	if !tookOver {
 		return
 	}
 	for _, vm := range others {
@@ -206,36 +207,36 @@
 }
 
 // Demand implements dispatch.SlotBroker.
-func (s *slotDirectory) Demand(dm contract.SlotDemand) {
-	st := s.service(dm.Service)
+func (s *slotBroker) Demand(demand contract.SlotDemand) {
+	st := s.service(demand.Service)
 	st.mu.Lock()
-	if dm.Version <= st.need.Version {
-		// A later statement of the lane has overtaken this one.
+	if demand.Version <= st.need.Version {
+		// A later demand of the scheduler has already been handled.
 		st.mu.Unlock()
 		return
 	}
-	st.need = dm
-	own := s.ask(st, s.d.o.Now())
+	st.need = demand
+	own := s.planDemand(st, s.d.o.Now())
 	st.mu.Unlock()
-	s.deliverAsked(st, own)
-	if dm.Short > 0 && len(own) == 0 {
+	s.deliverOwn(st, own)
+	if demand.Short > 0 && len(own) == 0 {
 		s.recall(st)
 	}
 }
 
-// ask divides the demand between the granters and returns the allocations of the own one. It expects st.mu to be held,
-// so that statements are sent in the order of the lane's demands.
-func (s *slotDirectory) ask(st *serviceSlots, now time.Time) []zone.Allocation {
+// planDemand divides the demand between the allocators and returns the allocations of the local one. st.mu must be
+// held, so that demands are sent in the order in which the scheduler issued them.
+func (s *slotBroker) planDemand(st *serviceSlots, now time.Time) []zone.Allocation {
 	self := s.d.o.VM.ID
-	st.planner.Hint(self, st.granter.Free(), now)
-	st.granter.Observe(self, st.need.ShortWait, now)
+	st.planner.Hint(self, st.allocator.Free(), now)
+	st.allocator.Observe(self, st.need.ShortWait, now)
 	var own []zone.Allocation
 	need := zone.Count{
 		Short: max(0, st.need.Short-st.delivering.Short), Long: max(0, st.need.Long-st.delivering.Long),
 	}
 	for _, a := range st.planner.Plan(need, now) {
 		if a.Granter == self {
-			own = st.granter.Demand(self, zone.Need{
+			own = st.allocator.Demand(self, zone.Need{
 				Tasks: a.Tasks, ShortWait: st.need.ShortWait, LongWait: st.need.LongWait, Received: a.Received,
 			}, now)
 			continue
@@ -249,12 +250,12 @@
 			OldestLongWaitMs: millis(st.need.LongWait), Received: a.Received,
 		}}})
 	}
-	st.deliver(sumFor(self, own), 1)
+	st.addDelivering(sumFor(self, own), 1)
 	return own
 }
 
-// deliverAsked delivers what ask returned.
-func (s *slotDirectory) deliverAsked(st *serviceSlots, own []zone.Allocation) {
+// deliverOwn delivers the allocations returned by planDemand.
+func (s *slotBroker) deliverOwn(st *serviceSlots, own []zone.Allocation) {
 	s.deliver(st, own)
 	c := sumFor(s.d.o.VM.ID, own)
 	if c.Sum() == 0 {
@@ -262,17 +263,17 @@
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.deliver(c, -1)
+	st.addDelivering(c, -1)
 }
 
-// deliver counts slots that are on their way to the lane (sign 1) or have arrived there (sign -1). It expects st.mu to
-// be held.
-func (st *serviceSlots) deliver(c zone.Count, sign int) {
+// addDelivering counts slots that are on their way to the scheduler (sign 1) or have arrived there (sign -1). st.mu
+// must be held.
+func (st *serviceSlots) addDelivering(c zone.Count, sign int) {
 	st.delivering.Short += sign * c.Short
 	st.delivering.Long += sign * c.Long
 }
 
-// sumFor counts the slots allocated to a member.
+// sumFor returns the number of slots allocated to a member.
 func sumFor(member string, allocations []zone.Allocation) zone.Count {
 	var c zone.Count
 	for _, a := range allocations {
@@ -284,10 +285,10 @@
 	return c
 }
 
-// status expects st.mu to be held.
-func (s *slotDirectory) status(st *serviceSlots) *api.SlotStatus {
-	free := st.granter.Free()
-	st.announced = free
+// status returns the local status and records the announced free slots. st.mu must be held.
+func (s *slotBroker) status(st *serviceSlots) *api.SlotStatus {
+	free := st.allocator.Free()
+	st.lastAnnounced = free
 	status := &api.SlotStatus{Service: st.name, Free: uint32(free)}
 	if st.need.Short > 0 {
 		status.OldestWaitMs = millis(st.need.ShortWait)
@@ -295,44 +296,44 @@
 	return status
 }
 
-// millis rounds up, so that a wait is never reported as none.
+// millis rounds up, so that a positive wait is never reported as zero.
 func millis(d time.Duration) uint32 {
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
 
 // Return implements dispatch.SlotBroker.
-func (s *slotDirectory) Return(returns []contract.SlotReturn) {
+func (s *slotBroker) Return(returns []contract.SlotReturn) {
 	now := s.d.o.Now()
 	for _, group := range groupReturns(returns, s.Granter) {
 		st := s.service(group.service)
-		switch group.granter {
+		switch group.allocator {
 		case s.d.o.VM.ID:
 			st.mu.Lock()
-			allocations := st.granter.Return(group.granter, group.returned, now)
-			allocations = append(allocations, st.granter.Reject(group.granter, group.rejected, now)...)
+			allocations := st.allocator.Return(group.allocator, group.returned, now)
+			allocations = append(allocations, st.allocator.Reject(group.allocator, group.rejected, now)...)
 			st.mu.Unlock()
 			s.deliver(st, allocations)
 		case "":
-			// No member grants the worker's slots any more.
+			// The worker has no allocator any more.
 		default:
 			s.sendReturn(st, group)
 		}
 	}
 }
 
-func (s *slotDirectory) sendReturn(st *serviceSlots, g *returnGroup) {
+func (s *slotBroker) sendReturn(st *serviceSlots, g *returnGroup) {
 	s.counters.returns.Inc(1)
 	s.counters.unused.Inc(int64(g.unused))
 	st.mu.Lock()
 	status := s.status(st)
 	st.mu.Unlock()
-	s.d.peers.send(g.granter, &api.PeerMessage{Body: &api.PeerMessage_Return{Return: &api.Return{
+	s.d.peers.send(g.allocator, &api.PeerMessage{Body: &api.PeerMessage_Return{Return: &api.Return{
 		Status: status, Slots: slotCounts(g.returned), Rejected: slotCounts(g.rejected),
 	}}})
 }
 
-// deliver hands allocations to the members that they are for, one message each.
-func (s *slotDirectory) deliver(st *serviceSlots, allocations []zone.Allocation) {
+// deliver sends allocations to their members, one message for each.
+func (s *slotBroker) deliver(st *serviceSlots, allocations []zone.Allocation) {
 	for len(allocations) > 0 {
 		n := 1
 		for n < len(allocations) && allocations[n].Member == allocations[0].Member &&
@@ -344,7 +345,7 @@
 	}
 }
 
-func (s *slotDirectory) deliverTo(st *serviceSlots, member string, allocations []zone.Allocation) {
+func (s *slotBroker) deliverTo(st *serviceSlots, member string, allocations []zone.Allocation) {
 	if member == s.d.o.VM.ID {
 		grants := make([]contract.SlotGrant, len(allocations))
 		var sum zone.Count
@@ -376,9 +377,9 @@
 	s.d.peers.send(member, &api.PeerMessage{Body: &api.PeerMessage_Grant{Grant: g}})
 }
 
-// recall asks for slots back that are needed for work that has waited longer.
-func (s *slotDirectory) recall(st *serviceSlots) {
-	for _, r := range st.granter.Recalls(s.d.o.Now()) {
+// recall recalls slots that are needed for work with a longer wait.
+func (s *slotBroker) recall(st *serviceSlots) {
+	for _, r := range st.allocator.Recalls(s.d.o.Now()) {
 		s.d.timeline.Record(timeline.Event{
 			Kind: timeline.GrantRecalled, Peer: r.Member, Detail: st.name, Count: int64(r.Slots),
 		})
@@ -393,20 +394,21 @@
 	}
 }
 
-// tick lets grants lapse, ends takeovers, recalls slots and announces free ones.
-func (s *slotDirectory) tick() {
+// tick expires grants, ends takeovers, recalls slots and announces free ones.
+func (s *slotBroker) tick() {
 	now := s.d.o.Now()
 	for _, st := range s.all() {
-		s.deliver(st, st.granter.Tick(now))
+		s.deliver(st, st.allocator.Tick(now))
 		s.recall(st)
 		s.announce(st, now)
 	}
 }
 
-// announce tells the members of free slots that appeared after they were told of none while some of them asked.
-func (s *slotDirectory) announce(st *serviceSlots, now time.Time) {
+// announce reports free slots to the members, if none were free at the last report and some member has sent a demand
+// recently.
+func (s *slotBroker) announce(st *serviceSlots, now time.Time) {
 	st.mu.Lock()
-	if st.announced > 0 || now.Sub(st.demandedAt) > renewInterval || st.granter.Free() == 0 {
+	if st.lastAnnounced > 0 || now.Sub(st.demandedAt) > renewInterval || st.allocator.Free() == 0 {
 		st.mu.Unlock()
 		return
 	}
@@ -415,8 +417,8 @@
 	s.d.peers.broadcast(msg)
 }
 
-// statuses returns the state of all services for a heartbeat.
-func (s *slotDirectory) statuses() []*api.SlotStatus {
+// statuses returns the status of all services for a heartbeat.
+func (s *slotBroker) statuses() []*api.SlotStatus {
 	var out []*api.SlotStatus
 	for _, st := range s.all() {
 		st.mu.Lock()
--- a/entry/state.go
+++ b/entry/state.go
@@ -12,7 +12,7 @@
 func (d *Daemon) Process() admin.ProcessView {
 	return admin.ProcessView{
 		VM: d.o.VM.ID, Incarnation: d.o.VM.Incarnation.String(), FailureDomain: int(d.o.Domain),
-		Region: string(d.o.Region), Started: d.operators.started, Unfinished: d.table.Unfinished(),
+		Region: string(d.o.Region), Started: d.adminState.started, Unfinished: d.table.Unfinished(),
 	}
 }
 
@@ -49,8 +49,8 @@
 // Queues implements admin.Source.
 func (d *Daemon) Queues() []admin.QueueView {
 	var out []admin.QueueView
-	for _, l := range d.dispatcher.Lanes() {
-		v := l.View()
+	for _, sched := range d.dispatcher.Lanes() {
+		v := sched.View()
 		out = append(out, admin.QueueView{
 			Service: v.Service, WaitingShort: v.Depth.Short, WaitingLong: v.Depth.Long,
 			ShortWorkMS: v.Depth.ShortWork.Milliseconds(), LongWorkMS: v.Depth.LongWork.Milliseconds(),
@@ -65,7 +65,7 @@
 func (d *Daemon) Grants() []admin.GrantView {
 	var out []admin.GrantView
 	for _, st := range d.slots.all() {
-		for _, w := range st.granter.View() {
+		for _, w := range st.allocator.View() {
 			v := admin.GrantView{
 				Service: st.name, Worker: string(w.Worker), Slots: w.Slots, Free: w.Free, Closed: w.Closed,
 				Holders: []admin.HolderView{},
@@ -107,8 +107,8 @@
 func (d *Daemon) Config() admin.ConfigView {
 	c := d.configs.inEffect()
 	v := admin.ConfigView{Revision: c.Revision, Offset: c.Next, Services: []admin.ServiceView{}}
-	for _, l := range d.dispatcher.Lanes() {
-		v.Services = append(v.Services, serviceView(l.Service()))
+	for _, sched := range d.dispatcher.Lanes() {
+		v.Services = append(v.Services, serviceView(sched.Service()))
 	}
 	sort.Slice(v.Services, func(i, j int) bool { return v.Services[i].Name < v.Services[j].Name })
 	return v
--- a/entry/timeline.go
+++ b/entry/timeline.go
@@ -2,10 +2,10 @@
 
 import "github.com/cicadadale/cicadadale/timeline"
 
-// NoEvents is the value of Options.Events that records nothing.
+// NoEvents is the value of Options.Events that disables the timeline.
 const NoEvents = -1
 
-// newTimeline returns the ring that the options ask for, nil for none.
+// newTimeline returns the ring selected by the options, nil for none.
 func newTimeline(o Options, clock *timeline.Clock) *timeline.Ring {
 	if o.Events < 0 {
 		return nil
--- a/load/mutations.sh
+++ b/load/mutations.sh
@@ -46,27 +46,27 @@
 		return reply, nil' 'return reply, fault.NotStarted.New("worker restarted")'
 }
 
-# A home that was paused goes on, and the worker ignores the start-by time of its starts.
+# A home that was paused continues, and the worker ignores the start-by time of its starts.
 accept_stale_start() {
   replace standin/worker.go 'l.clock().Milliseconds() >= startBy' 'false && startBy > 0'
-  replace entry/lapse.go 'return !d.lapse.alive(now, d.resumed) && !d.fenced.Load() && d.lease.Holds(d.domain.Listed(), now)' \
+  replace entry/pause.go 'return !d.pauseDetector.observe(now, d.fenceAfterPause) && !d.fenced.Load() && d.lease.Holds(d.domain.Listed(), now)' \
     'return !now.IsZero()'
 }
 
-# A planned stop appends and announces no closure, and the members do not pass it on.
+# A planned stop appends and announces no tombstone, and the members do not forward it.
 drop_closure() {
-  replace entry/closures.go '	if d.homes.Succeed(successionOf(c), d.o.Now()) {
-		d.spread(successionOf(c))
+  replace entry/tombstones.go '	if d.homes.Succeed(successionOf(c), d.o.Now()) {
+		d.broadcastSuccession(successionOf(c))
 	}
 	if' '	if'
-  replace entry/closures.go '		if d.homes.Learn(successionOf(c), d.o.Now()) {
-			d.spread(successionOf(c))
+  replace entry/tombstones.go '		if d.homes.Learn(successionOf(c), d.o.Now()) {
+			d.broadcastSuccession(successionOf(c))
 		}' '		_ = c'
-  replace entry/closures.go '	record := c.d.closure(s)
-' '	if c.d != nil {
+  replace entry/tombstones.go '	record := l.d.tombstone(s)
+' '	if l.d != nil {
 		return
 	}
-	record := c.d.closure(s)
+	record := l.d.tombstone(s)
 '
 }
 
