--- a/entry/claims.go
+++ b/entry/claims.go
@@ -79,7 +79,7 @@
 	lastUse      time.Time
 	pending      []*claimWaiter
 	waiting      map[contract.CallerKey][]*claimWaiter
-	waiters      int
+	waiterCount  int
 	caughtUp     chan struct{} // closed once the stream has been read to its end since start
 	failing      bool
 	batches      uint64
@@ -190,10 +190,10 @@
 func (c *claimDelegate) enqueue(w *claimWaiter) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiters >= maxWaitingClaims {
+	if c.waiterCount >= maxWaitingClaims {
 		return false
 	}
-	c.waiters++
+	c.waiterCount++
 	c.pending = append(c.pending, w)
 	c.waiting[w.claim.Key] = append(c.waiting[w.claim.Key], w)
 	select {
@@ -210,7 +210,7 @@
 		return
 	}
 	w.resolved = true
-	c.waiters--
+	c.waiterCount--
 	kept := c.waiting[w.claim.Key][:0]
 	for _, x := range c.waiting[w.claim.Key] {
 		if x != w {
@@ -408,7 +408,7 @@
 				continue
 			}
 			w.resolved = true
-			c.waiters--
+			c.waiterCount--
 			w.done <- claimReply{id: d.Winner, err: claimError(d)}
 		}
 		if len(undecided) == 0 {
--- a/entry/cluster_test.go
+++ b/entry/cluster_test.go
@@ -97,10 +97,10 @@
 		return nil, net.ErrClosed
 	}
 	cut := func() bool { return n.isCut(from, to) }
-	there, back := newTestPipe(cut), newTestPipe(cut)
+	outbound, inbound := newTestPipe(cut), newTestPipe(cut)
 	select {
-	case l.conns <- &testConn{in: there, out: back, address: testAddr(from)}:
-		return &testConn{in: back, out: there, address: testAddr(to)}, nil
+	case l.conns <- &testConn{in: outbound, out: inbound, address: testAddr(from)}:
+		return &testConn{in: inbound, out: outbound, address: testAddr(to)}, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -39,19 +39,19 @@
 		}
 	}
 	count(d.homes.Silent(home.Incarnation, promise, d.o.Now()))
-	var asked sync.WaitGroup
+	var votes sync.WaitGroup
 	for _, vm := range members {
 		if vm == home.VM {
 			continue
 		}
-		asked.Go(func() {
+		votes.Go(func() {
 			resp, err := d.peers.request(ctx, vm, &api.Request{Body: &api.Request_SilenceVote{
 				SilenceVote: &api.SilenceVote{Incarnation: uint64(home.Incarnation), Promise: promise},
 			}}, voteTimeout)
 			count(err == nil && resp.GetSilenceVote().GetSilent())
 		})
 	}
-	asked.Wait()
+	votes.Wait()
 	return n
 }
 
--- a/entry/log_bench_test.go
+++ b/entry/log_bench_test.go
@@ -52,11 +52,11 @@
 }
 
 func benchClaims(b *testing.B, domains, rate int) {
-	p, open := benchPlatform(b)
+	p, openLog := benchPlatform(b)
 	var delegates []*claimDelegate
 	for i := range domains {
 		c := newClaimDelegate(claimDelegateOptions{
-			Self: machine.Incarnation(i + 1), Log: open(), Budget: platform.NewBudget(appendBudget / float64(domains)),
+			Self: machine.Incarnation(i + 1), Log: openLog(), Budget: platform.NewBudget(appendBudget / float64(domains)),
 			Now: time.Now, Metrics: metrics.NewRegistry(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		c.start()
@@ -98,7 +98,7 @@
 // BenchmarkConfigInForce measures the time from a publication until all of 24 readers have it in effect. Run it with
 // -benchtime 1x.
 func BenchmarkConfigInForce(b *testing.B) {
-	_, open := benchPlatform(b)
+	_, openLog := benchPlatform(b)
 	const readers, changes = 24, 200
 	var mu sync.Mutex
 	inForce := make(map[uint64]int)
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for range readers {
-		c := newTestReplica(open())
+		c := newTestReplica(openLog())
 		last := uint64(0)
 		c.o.Apply = func(v contract.ConfigView) {
 			mu.Lock()
@@ -120,7 +120,7 @@
 		}
 		wg.Go(func() { c.tail(ctx) })
 	}
-	log := open()
+	log := openLog()
 	var published []time.Time
 	for n := range changes {
 		published = append(published, time.Now())
--- a/entry/membership.go
+++ b/entry/membership.go
@@ -85,14 +85,14 @@
 	d.applyChanges(d.domain.Tick(d.o.Now()))
 	leaving := d.dispatcher.Draining()
 	offset, revision := d.configs.position()
-	foreign := &api.Heartbeat{Leaving: leaving, ConfigOffset: offset, ConfigRevision: revision}
-	own := &api.Heartbeat{
+	otherDomain := &api.Heartbeat{Leaving: leaving, ConfigOffset: offset, ConfigRevision: revision}
+	sameDomain := &api.Heartbeat{
 		Leaving: leaving, ConfigOffset: offset, ConfigRevision: revision, Slots: d.slots.statuses(),
 		QuotaSeeded: d.quotas.seededBelow(),
 	}
 	d.peers.heartbeat(
-		&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: own}},
-		&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: foreign}},
+		&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: sameDomain}},
+		&api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: otherDomain}},
 	)
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -160,14 +160,14 @@
 }
 
 // heartbeat sends to all VMs with an open link. This keeps the links to other failure domains from becoming idle.
-func (p *peers) heartbeat(own, foreign *api.PeerMessage) {
+func (p *peers) heartbeat(sameDomain, otherDomain *api.PeerMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, l := range p.links {
 		if p.domains[id] == p.d.o.Domain {
-			l.Send(own)
+			l.Send(sameDomain)
 		} else {
-			l.Send(foreign)
+			l.Send(otherDomain)
 		}
 	}
 }
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -139,29 +139,29 @@
 	s := q.shard(u.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, ok := s.teams[u.Key]
-	if ok && c.share.Revision() == u.Revision && !seed {
+	e, ok := s.teams[u.Key]
+	if ok && e.share.Revision() == u.Revision && !seed {
 		return
 	}
 	seededPart := 0
 	if seed {
 		seededPart = q.seededPart(u.Quota)
 	}
-	c = &quotaEntry{share: contract.NewQuotaShare(u.Key.String(), u.Revision, q.d.o.VM.Incarnation, seededPart)}
-	s.teams[u.Key] = c
+	e = &quotaEntry{share: contract.NewQuotaShare(u.Key.String(), u.Revision, q.d.o.VM.Incarnation, seededPart)}
+	s.teams[u.Key] = e
 	if seed {
-		q.divide(c, seededPart)
+		q.divide(e, seededPart)
 	}
-	q.d.dispatcher.SetQuotaShare(u.Key, c.share.Held())
+	q.d.dispatcher.SetQuotaShare(u.Key, e.share.Held())
 }
 
 // divide gives the members of the failure domain equal parts of a seeded share. The shard lock must be held; the
 // transfers are sent by the next resend.
-func (q *quotaExchange) divide(c *quotaEntry, part int) {
+func (q *quotaExchange) divide(e *quotaEntry, part int) {
 	live := q.d.domain.Live()
 	for _, vm := range live {
 		q.recordProcess(vm.ID, vm.Incarnation)
-		c.share.Give(vm.Incarnation, part/len(live))
+		e.share.Give(vm.Incarnation, part/len(live))
 	}
 }
 
@@ -197,8 +197,8 @@
 	s := q.shard(k)
 	s.mu.Lock()
 	var pending []contract.QuotaTransfer
-	if c, ok := s.teams[k]; ok {
-		pending = c.share.Pending()
+	if e, ok := s.teams[k]; ok {
+		pending = e.share.Pending()
 	}
 	s.mu.Unlock()
 	for _, t := range pending {
@@ -240,33 +240,33 @@
 	q.round++
 	round := q.round
 	q.mu.Unlock()
-	var near, far, out []string
+	var members, delegates, out []string
 	for _, vm := range q.d.domain.Live() {
 		if vm.ID != q.d.o.VM.ID {
-			near = append(near, vm.ID)
+			members = append(members, vm.ID)
 		}
 	}
 	if delegate {
 		for _, id := range q.domains() {
 			if vm, ok := q.delegate(zone.DomainID(id)); ok && zone.DomainID(id) != q.d.o.Domain {
-				far = append(far, vm.ID)
+				delegates = append(delegates, vm.ID)
 			}
 		}
 	}
-	if len(near) > 0 {
-		out = append(out, near[round%len(near)])
+	if len(members) > 0 {
+		out = append(out, members[round%len(members)])
 	}
-	if len(far) > 0 {
-		out = append(out, far[round%len(far)])
+	if len(delegates) > 0 {
+		out = append(out, delegates[round%len(delegates)])
 	}
 	return out
 }
 
 // need returns the quota of a team that this VM holds and its demand. The shard lock must be held.
-func (q *quotaExchange) need(k customer.TeamKey, c *quotaEntry) customer.QuotaNeed {
-	n := customer.QuotaNeed{Held: c.share.Held(), Demand: q.d.dispatcher.TeamDemand(k)}
-	if q.d.o.Now().Before(c.unmetUntil) {
-		n.Demand += c.unmet
+func (q *quotaExchange) need(k customer.TeamKey, e *quotaEntry) customer.QuotaNeed {
+	n := customer.QuotaNeed{Held: e.share.Held(), Demand: q.d.dispatcher.TeamDemand(k)}
+	if q.d.o.Now().Before(e.unmetUntil) {
+		n.Demand += e.unmet
 	}
 	return n
 }
@@ -275,10 +275,10 @@
 func (q *quotaExchange) ask(u customer.Usage, targets []string) {
 	s := q.shard(u.Key)
 	s.mu.Lock()
-	c, ok := s.teams[u.Key]
+	e, ok := s.teams[u.Key]
 	var n customer.QuotaNeed
 	if ok {
-		n = q.need(u.Key, c)
+		n = q.need(u.Key, e)
 	}
 	s.mu.Unlock()
 	if !ok || min(n.Demand, u.Quota) <= n.Held {
@@ -315,17 +315,17 @@
 	delegate := q.isDelegate()
 	s := q.shard(k)
 	s.mu.Lock()
-	c, ok := s.teams[k]
-	if !ok || c.share.Revision() != r.GetQuotaRevision() {
+	e, ok := s.teams[k]
+	if !ok || e.share.Revision() != r.GetQuotaRevision() {
 		s.mu.Unlock()
 		return
 	}
-	n := customer.QuotaToGive(q.need(k, c), theirs)
-	t, given := c.share.Give(to, n)
+	n := customer.QuotaToGive(q.need(k, e), theirs)
+	t, given := e.share.Give(to, n)
 	if given {
-		q.d.dispatcher.SetQuotaShare(k, c.share.Held())
+		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
 	} else if delegate {
-		c.unmet, c.unmetUntil = theirs.Demand-theirs.Held, q.d.o.Now().Add(unmetTTL)
+		e.unmet, e.unmetUntil = theirs.Demand-theirs.Held, q.d.o.Now().Add(unmetTTL)
 	}
 	s.mu.Unlock()
 	if given {
@@ -342,13 +342,13 @@
 	t := transferFrom(m)
 	s := q.shard(k)
 	s.mu.Lock()
-	c, ok := s.teams[k]
+	e, ok := s.teams[k]
 	taken := false
 	if ok && m.GetAcknowledged() {
-		c.share.Acknowledge(t)
-	} else if ok && c.share.Take(t) {
+		e.share.Acknowledge(t)
+	} else if ok && e.share.Take(t) {
 		taken = true
-		q.d.dispatcher.SetQuotaShare(k, c.share.Held())
+		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
 	}
 	s.mu.Unlock()
 	if !taken {
--- a/entry/quotareturn.go
+++ b/entry/quotareturn.go
@@ -46,11 +46,11 @@
 	for _, u := range q.d.dispatcher.Teams().Usages() {
 		s := q.shard(u.Key)
 		s.mu.Lock()
-		c, known := s.teams[u.Key]
+		e, known := s.teams[u.Key]
 		if known {
-			c.share.Give(to.Incarnation, c.share.Held())
-			q.d.dispatcher.SetQuotaShare(u.Key, c.share.Held())
-			done = done && c.share.Held() == 0 && len(c.share.Pending()) == 0
+			e.share.Give(to.Incarnation, e.share.Held())
+			q.d.dispatcher.SetQuotaShare(u.Key, e.share.Held())
+			done = done && e.share.Held() == 0 && len(e.share.Pending()) == 0
 		}
 		s.mu.Unlock()
 		q.resend(u.Key)
