--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -52,7 +52,8 @@
 	})
 }
 
-// Guards against two winners when members disagree on the delegate, also when the reply to a delegate's append is lost.
+// Guards against two winners when members disagree on the delegate, also when a delegate's append is slow and its reply
+// is lost.
 func TestTwoDelegatesAgreeOnWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -174,7 +174,7 @@
 		return err
 	}
 	d.peerServer = server
-	d.serveOperators()
+	d.startAdmin()
 	d.refreshList(ctx)
 	d.configs.initialRead(ctx)
 	d.pollWorkers(ctx)
@@ -252,5 +252,5 @@
 	d.peerServer.Close()
 	d.peers.close()
 	d.dispatcher.Close()
-	d.stopOperators()
+	d.stopAdmin()
 }
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -32,12 +32,12 @@
 
 var errSuccessorGone = errors.New("the successor is gone")
 
-// handOvers tracks the progress of incoming hand-overs and of this VM's own. mu guards the fields below it and is held
-// while a part is applied, so that a repeated part waits for the first copy.
+// handOvers tracks the progress of incoming hand-overs and of this VM's own. mu guards lastPart and inProgress and is
+// held while a part is applied, so that a repeated part waits for the first copy.
 type handOvers struct {
-	mu       sync.Mutex
-	lastPart map[machine.Incarnation]uint32
-	open     map[machine.Incarnation]bool
+	mu         sync.Mutex
+	lastPart   map[machine.Incarnation]uint32
+	inProgress map[machine.Incarnation]bool
 
 	ownMu  sync.Mutex // guards own and hasOwn
 	own    zone.Succession
@@ -45,7 +45,7 @@
 }
 
 func newHandOvers() *handOvers {
-	return &handOvers{lastPart: make(map[machine.Incarnation]uint32), open: make(map[machine.Incarnation]bool)}
+	return &handOvers{lastPart: make(map[machine.Incarnation]uint32), inProgress: make(map[machine.Incarnation]bool)}
 }
 
 func (h *handOvers) successor() (zone.Succession, bool) {
@@ -65,7 +65,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var homes []machine.Incarnation
-	for inc := range h.open {
+	for inc := range h.inProgress {
 		homes = append(homes, inc)
 	}
 	return homes
@@ -99,9 +99,9 @@
 	h.lastPart[inc] = m.GetPart()
 	complete := len(m.GetHomes()) > 0 && m.GetHomes()[0].GetComplete()
 	if complete {
-		delete(h.open, inc)
+		delete(h.inProgress, inc)
 	} else {
-		h.open[inc] = true
+		h.inProgress[inc] = true
 	}
 	if last == 0 {
 		// If the reply to the first part is lost, the home may still choose another successor.
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -29,8 +29,8 @@
 	lastHeartbeat atomic.Int64
 }
 
-// serveOperators starts the admin server before the daemon serves callers, so that the startup can be observed.
-func (d *Daemon) serveOperators() {
+// startAdmin starts the admin server before the daemon serves callers, so that the startup can be observed.
+func (d *Daemon) startAdmin() {
 	d.adminState.started = d.o.Now()
 	d.adminState.lastHeartbeat.Store(d.adminState.started.UnixNano())
 	d.registerGauges()
@@ -41,8 +41,8 @@
 	}
 }
 
-// stopOperators stops the admin server. It is the last part to stop, so that a drain can be observed.
-func (d *Daemon) stopOperators() {
+// stopAdmin stops the admin server. It is the last part to stop, so that a drain can be observed.
+func (d *Daemon) stopAdmin() {
 	if d.adminState.server == nil {
 		return
 	}
--- a/entry/recovery_test.go
+++ b/entry/recovery_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against jobs that are lost when VMs are replaced at the same time: the successor stops during the hand-over to
-// it.
+// Guards against jobs that are lost when VMs are replaced within the same minute: the successor stops during the
+// hand-over to it.
 func TestSuccessorsStopTogether(t *testing.T) {
 	s := startBlockingDeployment(t, 4)
 	jobs := s.submit(t, s.client(t, 0, 1, 2, 3), 6)
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against wrong answers for the jobs of other homes: silent but not gone, replaced, or unknown to all members.
-func TestCallsForForeignHomes(t *testing.T) {
+func TestCallsForOtherHomes(t *testing.T) {
 	h := newTestDaemon(t, "a")
 	ask := func(home machine.Incarnation) (contract.Answer, error) {
 		return h.Submit(t.Context(), contract.Submission{
@@ -175,16 +175,16 @@
 
 // Guards against idle grants that are used after a pause longer than their TTL.
 func TestPauseIsDetected(t *testing.T) {
-	var l pauseDetector
+	var p pauseDetector
 	now := time.Unix(1000, 0)
 	pauses := 0
-	stale := func(at time.Time) bool { return l.observe(at, func(time.Duration) { pauses++ }) }
+	stale := func(at time.Time) bool { return p.observe(at, func(time.Duration) { pauses++ }) }
 	require.False(t, stale(now))
 	require.False(t, stale(now.Add(pauseThreshold)))
 	require.True(t, stale(now.Add(3*pauseThreshold)))
 	require.True(t, stale(now.Add(3*pauseThreshold)), "the grants from before the pause are still held")
 	require.Equal(t, 1, pauses)
-	l.grantsDropped()
+	p.grantsDropped()
 	require.False(t, stale(now.Add(3*pauseThreshold)))
 }
 
