--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -216,7 +216,7 @@
 func (d *Daemon) memberGone(gone departure) {
 	d.rooms.Remove(gone.id)
 	for _, p := range d.allPools() {
-		p.HomeGone(gone.id)
+		p.HomeUnreachable(gone.id)
 	}
 	d.home.OwnerGone(gone.id, gone.heard)
 	d.divide()
--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -348,7 +348,7 @@
 		require.Equal(t, batch.Completed, (<-small).Outcome)
 		time.Sleep(2 * time.Second)
 		for _, daemon := range d.daemons {
-			require.Equal(t, map[string]int{}, daemon.pool(testBackend).Occupied(), "CPU held on idle workers")
+			require.Equal(t, map[string]int{}, daemon.pool(testBackend).ReservedCPU(), "CPU held on idle workers")
 		}
 	})
 }
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -95,7 +95,7 @@
 func (d *Daemon) sendStatus(now time.Time) {
 	rooms := make(map[string]zone.BackendRoom)
 	for backend, p := range d.allPools() {
-		rooms[backend] = p.Room()
+		rooms[backend] = p.FreeCapacity()
 	}
 	d.mu.Lock()
 	ownsNothing, leaving := !d.joined || d.stopping, d.stopping
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -12,126 +12,129 @@
 )
 
 const (
-	// idleInterval is the time between looks at a worker without runs. They keep the estimate of its clock and find a
-	// worker that does not answer before tasks are lost to it.
-	idleInterval = 500 * time.Millisecond
-	// holdWait is how long a worker may delay its answer while nothing ends. It is shorter than a third of the lease.
-	holdWait = 250 * time.Millisecond
-	// holdRetry is the pause after a failed look.
-	holdRetry = 10 * time.Millisecond
+	// idlePollInterval is the time between polls of a worker without runs. They keep the estimate of its clock current
+	// and detect an unresponsive worker before tasks are lost to it.
+	idlePollInterval = 500 * time.Millisecond
+	// maxPollWait is how long a worker may delay its reply while no run ends. It is shorter than a third of the lease.
+	maxPollWait = 250 * time.Millisecond
+	// pollRetry is the pause after a failed poll.
+	pollRetry = 10 * time.Millisecond
 	// acquireRetry is the pause after a failed acquisition.
 	acquireRetry = 50 * time.Millisecond
-	// firstLookTimeout is the time for the answer to a look; a round trip takes up to 6 ms.
-	firstLookTimeout = 80 * time.Millisecond
-	// settleDelay is the pause before a worker is acquired that could not be reached before. After a partition the other
-	// members are heard within it, and the worker may have an owner among them.
-	settleDelay = time.Second
-	// lostRetry is the pause before a worker that another VM has taken is taken back, if membership still names this VM.
-	lostRetry = 500 * time.Millisecond
-	// stallTimeout is the time without progress after which a run counts as standing still. One percent of the longest
-	// tasks on the slowest workers takes half a second.
+	// firstPollTimeout is the timeout of the first poll after a successful one; a round trip takes up to 6 ms.
+	firstPollTimeout = 80 * time.Millisecond
+	// reconnectDelay is the pause before acquiring a worker that was unreachable. After a partition it gives the other
+	// members time to make contact, as one of them may own the worker.
+	reconnectDelay = time.Second
+	// reacquireDelay is the pause before a worker that was lost to another VM is acquired again, if membership still
+	// assigns it to this VM.
+	reacquireDelay = 500 * time.Millisecond
+	// stallTimeout is the time without progress after which a run is treated as stalled. One percent of the longest tasks
+	// on the slowest workers takes half a second.
 	stallTimeout = 900 * time.Millisecond
-	// tokenSpread makes two VMs that take a worker in the same millisecond use different tokens. Tokens stay below 2^53, up
-	// to which every decoder of JSON reads numbers exactly.
-	tokenSpread = 1 << 12
+	// tokenRandomRange makes two VMs that acquire a worker in the same millisecond use different tokens. Tokens stay
+	// below 2^53, the limit up to which every JSON decoder reads integers exactly.
+	tokenRandomRange = 1 << 12
 )
 
-// tokenEpoch is where fencing tokens start to count.
+// tokenEpoch is the origin of the time part of fencing tokens.
 var tokenEpoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newToken returns a fencing token for a worker that started at born, in milliseconds of Unix time, and whose clock shows
-// that reading. It rises with the worker's own time and over its restarts, whatever the clocks of the VMs say: a call with
-// the token of an earlier life may have reached the new one, and must not keep later owners out.
-func newToken(born int64, clock time.Duration) uint64 {
-	millis := max(born-tokenEpoch.UnixMilli(), 0) + max(clock.Milliseconds(), 0) + 1
-	return uint64(millis)*tokenSpread + rand.Uint64N(tokenSpread)
+// newToken returns a fencing token for a worker that started at startTime, in milliseconds of Unix time, and whose
+// clock shows the given reading. Tokens increase with the worker's own clock and across its restarts, independently of
+// the clocks of the VMs: a call with the token of an earlier incarnation may have reached the new one, and must not
+// lock out later owners.
+func newToken(startTime int64, clock time.Duration) uint64 {
+	millis := max(startTime-tokenEpoch.UnixMilli(), 0) + max(clock.Milliseconds(), 0) + 1
+	return uint64(millis)*tokenRandomRange + rand.Uint64N(tokenRandomRange)
 }
 
-// ownedHost is an owned worker with its runs. The pool's lock guards host, runs and lost; the goroutine of maintain owns the
-// rest.
+// ownedHost is an owned worker with its runs. The pool's lock guards host, runs and dropped; the other fields belong
+// to the goroutine of maintain.
 type ownedHost struct {
-	host    *machine.Host
-	runs    map[contract.RunKey]*run
-	address link.HostAddress
-	cancel  context.CancelFunc
-	kick    chan struct{}
-	lost    bool
-	lostAt  time.Time
-	// born is the life of the worker that was last heard of; zero before the first.
-	born int64
-	// failing is set from a look without an answer to the next answer.
-	failing bool
-	// unacknowledged is set while the worker may hold ends that it has not been told to forget.
-	unacknowledged bool
+	host            *machine.Host
+	runs            map[contract.RunKey]*run
+	address         link.HostAddress
+	cancel          context.CancelFunc
+	wakeup          chan struct{}
+	dropped         bool
+	ownershipLostAt time.Time
+	// startTime identifies the incarnation of the worker that replied last; zero before the first reply.
+	startTime int64
+	// pollFailed is set when a poll gets no reply, and cleared by the next reply.
+	pollFailed bool
+	// unackedOutcomes is set while the worker may hold outcomes that have not been acknowledged.
+	unackedOutcomes bool
 }
 
 func (t *ownedHost) wake() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// leaseLimit returns the time at which the lease of a worker may end at most, if it is extended now. One lease holds for
-// all runs of a worker, so the run that was refreshed longest ago decides, and a run that no home has claimed lets the lease
-// end: the home may have died, and its client may have the job run elsewhere by then.
+// leaseLimit returns the latest time to which the lease of a worker may be extended now. One lease covers all runs of
+// a worker, so the least recently refreshed run decides. A run that no home has claimed prevents an extension: its
+// home may have died, and its client may be running the job elsewhere before the lease ends.
 func (t *ownedHost) leaseLimit(now time.Time, lease time.Duration) time.Time {
 	limit := now.Add(lease)
 	for _, r := range t.runs {
 		if !r.claimed {
 			return now
 		}
-		if end := r.refreshed.Add(refreshedLease); end.Before(limit) {
+		if end := r.refreshedAt.Add(leaseAfterRefresh); end.Before(limit) {
 			limit = end
 		}
 	}
 	return limit
 }
 
-// maintain owns a worker until ctx ends: it acquires it, renews the lease of its runs and collects their ends.
+// maintain owns a worker until ctx ends: it acquires the worker, renews the lease of its runs and collects their
+// outcomes.
 func (p *Pool) maintain(ctx context.Context, t *ownedHost) {
 	unreached := false
 	for ctx.Err() == nil {
 		if owned, wait := p.ownership(t); !owned {
 			pause(ctx, wait, nil)
-			if reached, err := p.look(ctx, t); err != nil {
+			if reached, err := p.probe(ctx, t); err != nil {
 				unreached = true
 				pause(ctx, acquireRetry+rand.N(acquireRetry), nil)
 			} else if unreached {
 				unreached = false
-				pause(ctx, settleDelay, nil)
+				pause(ctx, reconnectDelay, nil)
 			} else if !p.acquire(ctx, t, reached) {
 				pause(ctx, acquireRetry+rand.N(acquireRetry), nil)
 			}
 			continue
 		}
-		hold, busy := p.nextHold(t)
-		if !busy {
-			pause(ctx, idleInterval, t.kick)
-			hold, _ = p.nextHold(t)
+		poll, due := p.nextPoll(t)
+		if !due {
+			pause(ctx, idlePollInterval, t.wakeup)
+			poll, _ = p.nextPoll(t)
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		sent := p.o.Now()
-		callCtx, cancel := context.WithTimeout(ctx, hold.Wait+p.lookTimeout(t))
-		reply, err := p.o.Calls.Hold(callCtx, t.address, hold)
+		callCtx, cancel := context.WithTimeout(ctx, poll.Wait+p.pollTimeout(t))
+		reply, err := p.o.Calls.Hold(callCtx, t.address, poll)
 		cancel()
-		if !p.held(t, sent, reply, err) {
-			pause(ctx, holdRetry, nil)
+		if !p.handlePollReply(t, sent, reply, err) {
+			pause(ctx, pollRetry, nil)
 		}
 	}
 }
 
-// lookTimeout returns how long an answer to a look may take beyond its wait. The first one that is late is asked for
-// again soon, since the ends that it would have told delay jobs; the next ones get time for packets that are sent again.
-func (p *Pool) lookTimeout(t *ownedHost) time.Duration {
+// pollTimeout returns how long a reply to a poll may take beyond its wait. After the first late reply the poll is
+// repeated soon, since a delayed outcome delays its job; later polls allow for retransmitted packets.
+func (p *Pool) pollTimeout(t *ownedHost) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t.failing {
+	if t.pollFailed {
 		return callTimeout
 	}
-	return firstLookTimeout
+	return firstPollTimeout
 }
 
 func pause(ctx context.Context, d time.Duration, wake <-chan struct{}) {
@@ -144,7 +147,7 @@
 	}
 }
 
-// ownership reports whether the worker is owned, and otherwise how long to wait before it is taken back.
+// ownership reports whether the worker is owned, and otherwise how long to wait before it is acquired again.
 func (p *Pool) ownership(t *ownedHost) (bool, time.Duration) {
 	now := p.o.Now()
 	p.mu.Lock()
@@ -152,34 +155,34 @@
 	if t.host.Token != 0 {
 		return true, 0
 	}
-	if t.lostAt.IsZero() {
+	if t.ownershipLostAt.IsZero() {
 		return false, 0
 	}
-	return false, max(lostRetry-now.Sub(t.lostAt), 0)
+	return false, max(reacquireDelay-now.Sub(t.ownershipLostAt), 0)
 }
 
-// nextHold returns the next look, and whether it has to be made now.
-func (p *Pool) nextHold(t *ownedHost) (link.HostHold, bool) {
+// nextPoll returns the next poll, and whether it has to be sent at once.
+func (p *Pool) nextPoll(t *ownedHost) (link.HostHold, bool) {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := link.HostHold{Token: t.host.Token, LastSeen: t.host.LastSeen}
 	if len(t.runs) == 0 {
-		return h, t.unacknowledged
+		return h, t.unackedOutcomes
 	}
-	// The lease is not extended while the worker does not answer: its runs end when it lapses.
-	if t.failing {
+	// The lease is not extended while the worker does not reply, so that its runs end with it.
+	if t.pollFailed {
 		return h, true
 	}
-	h.Wait = holdWait
+	h.Wait = maxPollWait
 	if left := t.leaseLimit(now, p.o.Lease).Sub(now); left > 0 {
 		h.LeaseEnd = t.host.ExtendLease(left, now)
 	}
 	return h, true
 }
 
-// look reads the clock of a worker that is not owned, without effect on its owner.
-func (p *Pool) look(ctx context.Context, t *ownedHost) (link.HoldReply, error) {
+// probe reads the clock of a worker that is not owned, without affecting its owner.
+func (p *Pool) probe(ctx context.Context, t *ownedHost) (link.HoldReply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := p.o.Calls.Hold(callCtx, t.address, link.HostHold{})
@@ -189,21 +192,22 @@
 	return reply, err
 }
 
-// bornOf returns the start of a worker's life. The answer to a look that is fenced does not say it; the worker's entry does.
-func (p *Pool) bornOf(t *ownedHost, looked link.HoldReply) int64 {
-	if looked.Born != 0 {
-		return looked.Born
+// startTimeOf returns the start time of a worker's incarnation. The reply to a fenced poll does not contain it; the
+// worker's listing does.
+func (p *Pool) startTimeOf(t *ownedHost, probed link.HoldReply) int64 {
+	if probed.Born != 0 {
+		return probed.Born
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(t.born, t.host.Listing.Born)
+	return max(t.startTime, t.host.Listing.Born)
 }
 
-// acquire makes this VM the owner of a worker that has answered a look.
-func (p *Pool) acquire(ctx context.Context, t *ownedHost, looked link.HoldReply) bool {
+// acquire makes this VM the owner of a worker that has replied to a probe.
+func (p *Pool) acquire(ctx context.Context, t *ownedHost, probed link.HoldReply) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	token := newToken(p.bornOf(t, looked), looked.Clock)
+	token := newToken(p.startTimeOf(t, probed), probed.Clock)
 	reply, err := p.o.Calls.Hold(callCtx, t.address, link.HostHold{Token: token})
 	if err != nil || reply.Fenced || reply.OtherLife {
 		p.o.Logger.Info("worker was not acquired", "worker", t.address.Worker, "token", token, "fenced", reply.Fenced,
@@ -213,17 +217,17 @@
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
-	if t.lost {
+	if t.dropped {
 		p.mu.Unlock()
 		return false
 	}
-	if t.born != 0 && reply.Born != t.born {
+	if t.startTime != 0 && reply.Born != t.startTime {
 		t.host.Restarted(reply.Clock, now, p.o.Lease)
 	}
-	t.born = reply.Born
+	t.startTime = reply.Born
 	t.host.SetClock(reply.Clock, now)
 	t.host.Token = token
-	t.unacknowledged = len(reply.Ended) > 0
+	t.unackedOutcomes = len(reply.Ended) > 0
 	found := p.adopt(t, reply, now)
 	p.match(now, &fx)
 	p.mu.Unlock()
@@ -237,7 +241,7 @@
 	return true
 }
 
-// adopt takes over the runs found on a worker, for their homes to claim. p.mu is held.
+// adopt registers the runs found on a worker, for their homes to claim. p.mu is held.
 func (p *Pool) adopt(t *ownedHost, reply link.HoldReply, now time.Time) []contract.RunKey {
 	var found []contract.RunKey
 	for _, running := range reply.Running {
@@ -246,10 +250,11 @@
 			r.token = t.host.Token
 			continue
 		}
-		delete(p.barred, running.Key)
+		delete(p.barredRuns, running.Key)
 		r := &run{
-			order: contract.TaskOrder{Key: running.Key, Need: p.typical}, state: runRunning, host: t, ran: true, token: t.host.Token,
-			queued: now, started: now, progress: running.Progress, progressAt: now,
+			order: contract.TaskOrder{Key: running.Key, Need: p.typicalSize}, state: runRunning, host: t,
+			mayHaveRun: true, token: t.host.Token,
+			queuedAt: now, startedAt: now, progress: running.Progress, progressAt: now,
 		}
 		t.host.Reserve(r.order.Need)
 		t.runs[running.Key] = r
@@ -263,23 +268,23 @@
 			continue
 		}
 		p.runs[e.Key] = &run{
-			order: contract.TaskOrder{Key: e.Key}, state: runFinal, ended: now,
+			order: contract.TaskOrder{Key: e.Key}, state: runFinal, endedAt: now,
 			outcome: contract.RunReport{Key: e.Key, State: e.State, Worker: t.address.Worker, Ran: true},
 		}
 	}
 	return found
 }
 
-// loseOwnership records that another VM has taken a worker. Its runs are for that VM to report. p.mu is held.
+// loseOwnership records that another VM has acquired a worker. That VM reports its runs from now on. p.mu is held.
 func (p *Pool) loseOwnership(t *ownedHost, now time.Time, fx *effects) {
 	if t.host.Token == 0 {
 		return
 	}
-	p.o.Logger.Warn("worker has been taken by another VM", "worker", t.address.Worker, "token", t.host.Token,
+	p.o.Logger.Warn("lost ownership of worker to another VM", "worker", t.address.Worker, "token", t.host.Token,
 		"runs", len(t.runs))
 	p.counter(metric.PoolWorkersLost).Inc(1)
 	t.host.Token = 0
-	t.lostAt = now
+	t.ownershipLostAt = now
 	for _, r := range t.runs {
 		if r.state != runStarting {
 			p.forget(r, fx)
@@ -287,8 +292,8 @@
 	}
 }
 
-// held records the answer to a look. It reports whether the worker answered.
-func (p *Pool) held(t *ownedHost, sent time.Time, reply link.HoldReply, err error) bool {
+// handlePollReply processes the reply to a poll. It reports whether the poll succeeded.
+func (p *Pool) handlePollReply(t *ownedHost, sent time.Time, reply link.HoldReply, err error) bool {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -296,50 +301,51 @@
 		p.mu.Unlock()
 		p.apply(fx)
 	}()
-	if t.lost {
+	if t.dropped {
 		return false
 	}
 	if err != nil {
 		p.o.Calls.Forget(t.address)
 		t.host.Unanswered(now.Add(suspectTime))
-		if t.failing {
+		if t.pollFailed {
 			t.host.Stalled(now)
 		}
-		t.failing = true
-		p.o.Logger.Warn("worker did not answer a look", "worker", t.address.Worker, "runs", len(t.runs), "error", err)
+		t.pollFailed = true
+		p.o.Logger.Warn("worker did not answer a poll", "worker", t.address.Worker, "runs", len(t.runs), "error", err)
 		return false
 	}
-	t.failing = false
+	t.pollFailed = false
 	if reply.OtherLife {
-		p.lifeEnded(t, now, &fx)
+		p.handleOtherWorker(t, now, &fx)
 		return false
 	}
-	if reply.Born != 0 && reply.Born != t.born {
-		p.restarted(t, reply, now)
+	if reply.Born != 0 && reply.Born != t.startTime {
+		p.handleRestart(t, reply, now)
 	}
 	t.host.SetClock(reply.Clock, now)
 	if reply.Fenced {
 		p.loseOwnership(t, now, &fx)
 		return false
 	}
-	p.takeEnds(t, reply, now, &fx)
-	p.compareRunning(t, reply, sent, now, &fx)
+	p.recordOutcomes(t, reply, now, &fx)
+	p.reconcileRuns(t, reply, sent, now, &fx)
 	p.match(now, &fx)
 	return true
 }
 
-// restarted records that a worker has begun a new life. Its lists tell which of the runs were started in it; the others are
-// over. p.mu is held.
-func (p *Pool) restarted(t *ownedHost, reply link.HoldReply, now time.Time) {
-	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.Born, "last_born", t.born,
+// handleRestart records that a worker has been restarted. The lists in its reply show which runs belong to the new
+// incarnation; the others have ended. p.mu is held.
+func (p *Pool) handleRestart(t *ownedHost, reply link.HoldReply, now time.Time) {
+	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.Born, "last_born", t.startTime,
 		"runs", len(t.runs), "running", len(reply.Running))
-	t.born = reply.Born
+	t.startTime = reply.Born
 	t.host.Restarted(reply.Clock, now, p.o.Lease)
 }
 
-// lifeEnded records that another worker answers at the address: nothing that was ordered before runs any more. p.mu is held.
-func (p *Pool) lifeEnded(t *ownedHost, now time.Time, fx *effects) {
-	p.o.Logger.Warn("another worker answers at the address", "worker", t.address.Worker, "address", t.address.Address,
+// handleOtherWorker records that another worker answers at the address: no earlier run of this worker is alive. p.mu
+// is held.
+func (p *Pool) handleOtherWorker(t *ownedHost, now time.Time, fx *effects) {
+	p.o.Logger.Warn("another worker answers at this address", "worker", t.address.Worker, "address", t.address.Address,
 		"runs", len(t.runs))
 	for _, r := range t.runs {
 		if r.state != runStarting {
@@ -350,30 +356,30 @@
 	t.host.Stalled(now)
 }
 
-// takeEnds records the ends of runs. p.mu is held.
-func (p *Pool) takeEnds(t *ownedHost, reply link.HoldReply, now time.Time, fx *effects) {
-	t.unacknowledged = len(reply.Ended) > 0
+// recordOutcomes records the outcomes of runs. p.mu is held.
+func (p *Pool) recordOutcomes(t *ownedHost, reply link.HoldReply, now time.Time, fx *effects) {
+	t.unackedOutcomes = len(reply.Ended) > 0
 	for _, e := range reply.Ended {
 		t.host.LastSeen = max(t.host.LastSeen, e.Number)
 		r, ok := t.runs[e.Key]
 		if !ok {
 			continue
 		}
-		took := now.Sub(r.started)
+		took := now.Sub(r.startedAt)
 		switch e.State {
 		case contract.RunDone:
 			t.host.Succeeded(took, r.order.Expected)
 			p.learnSpeed(t.host)
 		case contract.RunFailed:
 			if t.host.Failed(now) {
-				p.o.Logger.Warn("worker fails what it starts; suspended", "worker", t.address.Worker)
+				p.o.Logger.Warn("worker suspended after repeated run failures", "worker", t.address.Worker)
 			}
 		}
 		p.finish(r, e.State, took, fx)
 	}
 }
 
-// learnSpeed keeps the typical speed of workers of the same kind. p.mu is held.
+// learnSpeed updates the typical speed of workers of the same kind. p.mu is held.
 func (p *Pool) learnSpeed(h *machine.Host) {
 	if len(h.Listing.Labels) == 0 {
 		return
@@ -389,53 +395,53 @@
 // kindSpeedWeight is the weight of one run in the typical speed of a kind of workers.
 const kindSpeedWeight = 0.05
 
-// compareRunning checks the worker's list of runs against ours. p.mu is held.
-func (p *Pool) compareRunning(t *ownedHost, reply link.HoldReply, sent, now time.Time, fx *effects) {
+// reconcileRuns compares the worker's list of runs with the pool's. p.mu is held.
+func (p *Pool) reconcileRuns(t *ownedHost, reply link.HoldReply, sent, now time.Time, fx *effects) {
 	listed := make(map[contract.RunKey]int, len(reply.Running))
 	for _, running := range reply.Running {
 		listed[running.Key] = running.Progress
 		if _, ok := t.runs[running.Key]; !ok {
-			p.stopStray(t, running.Key, now)
+			p.stopUnordered(t, running.Key, now)
 		}
 	}
 	for key, r := range t.runs {
 		progress, ok := listed[key]
 		switch {
 		case ok:
-			p.observe(r, progress, now, fx)
-		case r.state == runRunning && r.started.Before(sent) && !r.answered.After(sent):
-			// The worker knew the run before the look and lists neither the run nor its end.
+			p.recordProgress(r, progress, now, fx)
+		case r.state == runRunning && r.startedAt.Before(sent) && !r.answeredAt.After(sent):
+			// The run was confirmed before the poll was sent, and the reply lists neither the run nor its outcome.
 			p.finish(r, contract.RunEnded, 0, fx)
 		}
 	}
 }
 
-// observe records the progress of a run, and gives up a run that stands still. p.mu is held.
-func (p *Pool) observe(r *run, progress int, now time.Time, fx *effects) {
-	if r.state == runDoubtful && !r.unwanted {
-		// Looks that were sent before this one was answered prove nothing about the run.
-		r.state, r.answered = runRunning, now
+// recordProgress records the progress of a run, and stops a run that has stalled. p.mu is held.
+func (p *Pool) recordProgress(r *run, progress int, now time.Time, fx *effects) {
+	if r.state == runInDoubt && !r.cancelled {
+		// Replies to polls that were sent before this reply arrived prove nothing about the run.
+		r.state, r.answeredAt = runRunning, now
 		fx.report(r)
 	}
 	if progress != r.progress {
 		r.progress, r.progressAt = progress, now
 		return
 	}
-	if r.state != runRunning || r.unwanted || now.Sub(r.progressAt) < stallTimeout {
+	if r.state != runRunning || r.cancelled || now.Sub(r.progressAt) < stallTimeout {
 		return
 	}
-	p.o.Logger.Warn("run stands still; stopping it", "task", r.order.Key.String(), "worker", r.host.address.Worker,
+	p.o.Logger.Warn("run makes no progress; stopping it", "task", r.order.Key.String(), "worker", r.host.address.Worker,
 		"progress", progress, "since_progress", now.Sub(r.progressAt))
 	p.counter(metric.PoolRunsStalled).Inc(1)
-	r.unwanted = true
+	r.cancelled = true
 	r.host.host.Stalled(now)
 	fx.stops = append(fx.stops, r)
 }
 
-// stopStray stops a run that nobody of this VM has ordered: a start that was carried out late. p.mu is held.
-func (p *Pool) stopStray(t *ownedHost, key contract.RunKey, now time.Time) {
-	r := &run{order: contract.TaskOrder{Key: key, Need: p.typical}, state: runRunning, host: t,
-		unwanted: true, queued: now, started: now, progressAt: now}
+// stopUnordered stops a run that this VM has not ordered: a start that was executed late. p.mu is held.
+func (p *Pool) stopUnordered(t *ownedHost, key contract.RunKey, now time.Time) {
+	r := &run{order: contract.TaskOrder{Key: key, Need: p.typicalSize}, state: runRunning, host: t,
+		cancelled: true, queuedAt: now, startedAt: now, progressAt: now}
 	t.host.Reserve(r.order.Need)
 	t.runs[key] = r
 	p.runs[key] = r
--- a/pool/match.go
+++ b/pool/match.go
@@ -12,37 +12,38 @@
 const (
 	// sizeWeight is the weight of one task in the typical size.
 	sizeWeight = 0.05
-	// headReserve is the wait after which the most urgent task keeps smaller ones behind it from taking the room that it
-	// needs; without it large tasks starve while small ones fill each gap.
-	headReserve = 150 * time.Millisecond
+	// reserveDelay is the wait after which a worker is reserved for the most urgent task, so that smaller tasks behind it
+	// do not take the capacity that it needs. Without it, large tasks starve while small ones fill each gap.
+	reserveDelay = 150 * time.Millisecond
 )
 
-// match starts waiting tasks on workers with room. Each worker takes the most urgent task that fits, judged by its own
-// speed; the fastest choose first, so that tasks that only they can end in time get them. p.mu is held.
+// match starts queued tasks on workers with free capacity. Each worker takes the most urgent task that fits, judged by
+// its own speed; the fastest choose first, so that they get the tasks that only they can finish before the deadline.
+// p.mu is held.
 func (p *Pool) match(now time.Time, fx *effects) {
 	if len(p.waiting.runs) == 0 {
 		return
 	}
 	var reserved *ownedHost
-	for _, t := range p.withRoom(now) {
+	for _, t := range p.hostsWithCapacity(now) {
 		p.waiting.sort(now, t.host.Speed())
 		if reserved == nil {
 			reserved = p.reserve(now)
 		}
 		for i := 0; i < len(p.waiting.runs) && t.host.Usable(now); {
 			r := p.waiting.runs[i]
-			if (t == reserved && i > 0) || !p.suits(t, r, now) {
+			if (t == reserved && i > 0) || !p.canStart(t, r, now) {
 				i++
 				continue
 			}
 			p.waiting.remove(r)
-			p.begin(r, t, now, fx)
+			p.assign(r, t, now, fx)
 		}
 	}
 }
 
-// withRoom returns the workers on which a task may start, the fastest first and of equally fast ones the fullest.
-func (p *Pool) withRoom(now time.Time) []*ownedHost {
+// hostsWithCapacity returns the workers on which a task may start, the fastest first and of equally fast ones the fullest.
+func (p *Pool) hostsWithCapacity(now time.Time) []*ownedHost {
 	var hosts []*ownedHost
 	for _, t := range p.hosts {
 		if t.host.CanStart(machine.Resources{}, now) && t.host.Free().CPUMillis > 0 &&
@@ -51,7 +52,7 @@
 		}
 	}
 	slices.SortFunc(hosts, func(a, b *ownedHost) int {
-		if better(a.host, b.host) {
+		if preferred(a.host, b.host) {
 			return -1
 		}
 		return 1
@@ -59,28 +60,28 @@
 	return hosts
 }
 
-// suits reports whether a task may start on a worker now. A task whose data are in a rack of this pool waits for that
-// rack for as long as it runs.
-func (p *Pool) suits(t *ownedHost, r *run, now time.Time) bool {
+// canStart reports whether a task may start on a worker now. A task whose data is in a rack of this pool waits for
+// that rack for at most its expected run time.
+func (p *Pool) canStart(t *ownedHost, r *run, now time.Time) bool {
 	o := r.order
-	if now.Sub(r.refreshed) > refreshTimeout {
-		// The home counts the run as lost; the next sweep ends it.
+	if now.Sub(r.refreshedAt) > refreshTimeout {
+		// The home already treats the run as lost; the next sweep ends it.
 		return false
 	}
 	if !t.host.CanStart(o.Need, now) || !t.host.Listing.CanHold(o.Need, o.RequiredLabel) {
 		return false
 	}
-	if o.PerWorkerLimit > 0 && t.inStep(o.Key) >= o.PerWorkerLimit {
+	if o.PerWorkerLimit > 0 && t.runsOfStep(o.Key) >= o.PerWorkerLimit {
 		return false
 	}
-	if o.PreferredRack == "" || t.host.Listing.HasLabel(o.PreferredRack) || now.Sub(r.queued) > o.Expected {
+	if o.PreferredRack == "" || t.host.Listing.HasLabel(o.PreferredRack) || now.Sub(r.queuedAt) > o.Expected {
 		return true
 	}
 	return !p.hasRack(o.PreferredRack, now)
 }
 
-// inStep returns the number of runs of a step on the worker.
-func (t *ownedHost) inStep(key contract.RunKey) int {
+// runsOfStep returns the number of runs of a step on the worker.
+func (t *ownedHost) runsOfStep(key contract.RunKey) int {
 	n := 0
 	for k := range t.runs {
 		if k.InStep(key) {
@@ -100,19 +101,19 @@
 	return false
 }
 
-// reserve returns the worker that is kept free for the most urgent task, if it has waited for room for long.
+// reserve returns the worker that is kept free for the most urgent task, if that has waited longer than reserveDelay.
 func (p *Pool) reserve(now time.Time) *ownedHost {
-	if len(p.waiting.runs) == 0 || now.Sub(p.waiting.runs[0].queued) < headReserve {
+	if len(p.waiting.runs) == 0 || now.Sub(p.waiting.runs[0].queuedAt) < reserveDelay {
 		return nil
 	}
 	return p.largestFree(p.waiting.runs[0].order)
 }
 
-// speedStep is the difference in speed below which two workers count as equally fast.
+// speedStep is the width of a speed class; workers of the same class are treated as equally fast.
 const speedStep = 0.15
 
-// better orders workers for a task: by speed, and of equally fast ones the one with less room left.
-func better(a, b *machine.Host) bool {
+// preferred orders workers for a task: the faster first, and among equally fast ones the one with less free capacity.
+func preferred(a, b *machine.Host) bool {
 	if sa, sb := int(a.Speed()/speedStep), int(b.Speed()/speedStep); sa != sb {
 		return sa > sb
 	}
@@ -122,7 +123,7 @@
 	return a.Listing.Worker < b.Listing.Worker
 }
 
-// largestFree returns the worker that needs to free the least room for a task.
+// largestFree returns the worker with the most free CPU that can hold a task.
 func (p *Pool) largestFree(o contract.TaskOrder) *ownedHost {
 	var best *ownedHost
 	for _, t := range p.hosts {
@@ -136,13 +137,13 @@
 	return best
 }
 
-// begin reserves room for a run and plans its start call. p.mu is held.
-func (p *Pool) begin(r *run, t *ownedHost, now time.Time, fx *effects) {
+// assign reserves capacity for a run and adds its start call to fx. p.mu is held.
+func (p *Pool) assign(r *run, t *ownedHost, now time.Time, fx *effects) {
 	t.host.Reserve(r.order.Need)
 	t.runs[r.order.Key] = r
-	r.host, r.state, r.started, r.ran = t, runStarting, now, true
+	r.host, r.state, r.startedAt, r.mayHaveRun = t, runStarting, now, true
 	r.progress, r.progressAt, r.token = 0, now, t.host.Token
-	p.commit(r.order.Key.Batch, now)
+	p.markCommitted(r.order.Key.Batch, now)
 	fx.starts = append(fx.starts, startEffect{
 		run: r, host: t, token: t.host.Token,
 		leaseEnd: t.host.ExtendLease(t.leaseLimit(now, p.o.Lease).Sub(now), now),
@@ -150,45 +151,45 @@
 	t.wake()
 }
 
-// commit marks the waiting tasks of a job of which a task is started. p.mu is held.
-func (p *Pool) commit(batch string, now time.Time) {
-	if _, ok := p.begun[batch]; !ok {
+// markCommitted marks the queued tasks of a job once one of its tasks is started. p.mu is held.
+func (p *Pool) markCommitted(batch string, now time.Time) {
+	if _, ok := p.lastStarts[batch]; !ok {
 		for _, r := range p.waiting.runs {
 			r.committed = r.committed || r.order.Key.Batch == batch
 		}
 	}
-	p.begun[batch] = now
+	p.lastStarts[batch] = now
 }
 
-// learnSize keeps the typical size of a task, by which room is counted in slots. p.mu is held.
+// learnSize updates the typical size of a task, the unit in which capacity is counted in slots. p.mu is held.
 func (p *Pool) learnSize(need machine.Resources) {
-	if p.typical.CPUMillis == 0 {
-		p.typical = need
+	if p.typicalSize.CPUMillis == 0 {
+		p.typicalSize = need
 		return
 	}
-	p.typical.CPUMillis += int(sizeWeight * float64(need.CPUMillis-p.typical.CPUMillis))
-	p.typical.MemoryMB += int(sizeWeight * float64(need.MemoryMB-p.typical.MemoryMB))
+	p.typicalSize.CPUMillis += int(sizeWeight * float64(need.CPUMillis-p.typicalSize.CPUMillis))
+	p.typicalSize.MemoryMB += int(sizeWeight * float64(need.MemoryMB-p.typicalSize.MemoryMB))
 }
 
-// Room returns what the pool can take now.
-func (p *Pool) Room() zone.BackendRoom {
+// FreeCapacity returns the slots of the pool, the free ones among them, and the work queued for them.
+func (p *Pool) FreeCapacity() zone.BackendRoom {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var room zone.BackendRoom
+	var capacity zone.BackendRoom
 	for _, t := range p.hosts {
 		if !t.host.Usable(now) {
 			continue
 		}
-		room.Slots += slotsIn(t.host.Listing.Capacity, p.typical)
-		room.Free += slotsIn(t.host.Free(), p.typical)
+		capacity.Slots += slotsIn(t.host.Listing.Capacity, p.typicalSize)
+		capacity.Free += slotsIn(t.host.Free(), p.typicalSize)
 	}
 	for _, r := range p.waiting.runs {
-		room.Waiting[min(max(r.order.Priority, 0), zone.Priorities-1)] += r.order.Expected
-		room.Free--
+		capacity.Waiting[min(max(r.order.Priority, 0), zone.Priorities-1)] += r.order.Expected
+		capacity.Free--
 	}
-	room.Free = max(room.Free, 0)
-	return room
+	capacity.Free = max(capacity.Free, 0)
+	return capacity
 }
 
 func slotsIn(have, size machine.Resources) int {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// refreshTimeout is the time without a refresh by its home after which a run is stopped. With the lease of a worker
-	// it keeps the runs of a lost home shorter than the time after which a client sends its job again.
+	// refreshTimeout is the time without a refresh by its home after which a run is stopped. Together with the worker's
+	// lease it ends the runs of a dead home before a client submits its job again.
 	refreshTimeout = 800 * time.Millisecond
-	// refreshedLease is how long after the last refresh of a run its lease may end. Clients send a job again 1.3 s after its
-	// home has died; workers' clocks are up to 2% slow.
-	refreshedLease = 1200 * time.Millisecond
-	// minStartLease is the least lease with which a task is started.
+	// leaseAfterRefresh is the longest time from the last refresh of a run to the end of its lease. Clients submit a job
+	// again 1.3 s after its home has died, and workers' clocks run up to 2% slow.
+	leaseAfterRefresh = 1200 * time.Millisecond
+	// minStartLease is the shortest lease with which a task is started.
 	minStartLease = 150 * time.Millisecond
-	// finalRetention is how long the end of a run is kept for a home that does not acknowledge it.
+	// finalRetention is how long the outcome of a run is kept for a home that does not acknowledge it.
 	finalRetention = 10 * time.Second
 	sweepInterval  = 100 * time.Millisecond
-	// claimWindow is the time in which homes claim the runs found on a worker that has changed its owner. The home of a run
-	// may have died with the last owner, and its clients send their jobs again 1.3 s later.
+	// claimWindow is the time for homes to claim the runs found on a worker after a change of its owner. The home of a
+	// run may have died together with the previous owner, and its clients submit their jobs again 1.3 s later.
 	claimWindow = 150 * time.Millisecond
 )
 
-// Options are the parts of a pool.
+// Options configure a pool.
 type Options struct {
 	Backend string
 	Calls   link.HostCalls
 	// Lease is the longest lease that workers grant.
 	Lease time.Duration
-	// Report tells the home of a run what became of it. No lock of the pool is held meanwhile.
+	// Report sends the state of a run to its home. It is called without holding the lock of the pool.
 	Report func(home string, r contract.RunReport)
-	// Takeover tells all homes that this VM owns a worker from now on.
+	// Takeover announces to all homes that this VM has become the owner of a worker.
 	Takeover func(t contract.Takeover)
 	Now      func() time.Time
 	Logger   *slog.Logger
@@ -49,25 +49,25 @@
 
 // Pool is the shard of one back end: the owned workers, the waiting tasks and the runs. mu guards all fields below it.
 type Pool struct {
-	o      Options
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-
-	mu      sync.Mutex
-	hosts   map[string]*ownedHost
-	runs    map[contract.RunKey]*run
-	waiting queue
-	barred  map[contract.RunKey]barrier
-	speeds  map[string]float64
-	// begun says when a task of a batch has last been started here.
-	begun   map[string]time.Time
-	typical machine.Resources
+	o          Options
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu         sync.Mutex
+	hosts      map[string]*ownedHost
+	runs       map[contract.RunKey]*run
+	waiting    queue
+	barredRuns map[contract.RunKey]barredRun
+	speeds     map[string]float64
+	// lastStarts is the time at which this pool last started a task of a batch, by batch.
+	lastStarts  map[string]time.Time
+	typicalSize machine.Resources
 }
 
-// barrier keeps a run from being started that the pool does not hold. Its state is what homes are told: RunUnknown if the
-// run was never here, RunLost if it may be alive on a worker that another VM has taken.
-type barrier struct {
+// barredRun is a run that the pool does not hold and must not start. Its state is reported to homes: RunUnknown if the
+// run was never here, RunLost if it may be alive on a worker that another VM has acquired.
+type barredRun struct {
 	at    time.Time
 	state contract.RunState
 }
@@ -78,29 +78,31 @@
 	p := &Pool{
 		o: o, ctx: ctx, cancel: cancel,
 		hosts: make(map[string]*ownedHost), runs: make(map[contract.RunKey]*run),
-		barred: make(map[contract.RunKey]barrier), speeds: make(map[string]float64), begun: make(map[string]time.Time),
+		barredRuns: make(map[contract.RunKey]barredRun), speeds: make(map[string]float64),
+		lastStarts: make(map[string]time.Time),
 	}
 	p.spawn(p.sweepPeriodically)
 	return p
 }
 
-// Close ends the maintenance of all workers without stopping their runs, which lapse.
+// Close ends the maintenance of all workers without stopping their runs, which end when their lease expires.
 func (p *Pool) Close() {
 	p.cancel()
-	p.tasks.Wait()
+	p.goroutines.Wait()
 }
 
 func (p *Pool) spawn(f func()) {
-	p.tasks.Add(1)
+	p.goroutines.Add(1)
 	go func() {
-		defer p.tasks.Done()
+		defer p.goroutines.Done()
 		f()
 	}()
 }
 
-// SetHosts replaces the set of owned workers. A worker that is not owned any more is abandoned at once: its new owner
-// takes its runs over. One that is listed at another address has been restarted. Whether one at the same address has been,
-// its own answers say: its entry may be older or newer than the life that the runs belong to.
+// SetHosts replaces the set of owned workers. A worker that is no longer owned is dropped at once, and its new owner
+// takes over its runs. One that is listed at another address has been restarted. Whether one at the same address has
+// been restarted is decided by its own replies: its listing may be older or newer than the incarnation that the runs
+// belong to.
 func (p *Pool) SetHosts(listings []machine.Listing) {
 	now := p.o.Now()
 	var fx effects
@@ -118,7 +120,7 @@
 			continue
 		}
 		if l.Draining && !t.host.Listing.Draining {
-			p.o.Logger.Info("worker is draining; no new tasks", "worker", l.Worker, "runs", t.host.Runs())
+			p.o.Logger.Info("worker is draining; starting no new tasks", "worker", l.Worker, "runs", t.host.Runs())
 		}
 		if l.Born != t.host.Listing.Born {
 			t.wake()
@@ -136,7 +138,7 @@
 	p.apply(fx)
 }
 
-// returnInfeasible gives waiting tasks back that no worker of the pool can hold any more. p.mu is held.
+// returnInfeasible returns queued tasks that no worker of the pool can hold any longer to their homes. p.mu is held.
 func (p *Pool) returnInfeasible(fx *effects) {
 	for _, r := range slices.Clone(p.waiting.runs) {
 		if !p.feasible(r.order) {
@@ -145,11 +147,11 @@
 	}
 }
 
-// addHost starts to maintain a worker. p.mu is held.
+// addHost starts maintaining a worker. p.mu is held.
 func (p *Pool) addHost(l machine.Listing) {
 	ctx, cancel := context.WithCancel(p.ctx)
 	t := &ownedHost{
-		host: machine.NewHost(l, p.speedOf(l)), kick: make(chan struct{}, 1), cancel: cancel,
+		host: machine.NewHost(l, p.speedOf(l)), wakeup: make(chan struct{}, 1), cancel: cancel,
 		runs: make(map[contract.RunKey]*run), address: link.HostAddress{Worker: l.Worker, Address: l.Address},
 	}
 	p.hosts[l.Worker] = t
@@ -166,14 +168,14 @@
 	return 1
 }
 
-// dropHost stops maintaining a worker. The runs of a life that has ended are over; the others are for the worker's next
-// owner, and their homes learn of them from it. p.mu is held.
-func (p *Pool) dropHost(t *ownedHost, lifeEnded bool, fx *effects) {
+// dropHost stops maintaining a worker. If it was restarted, its runs have ended; otherwise its next owner reports them
+// to their homes. p.mu is held.
+func (p *Pool) dropHost(t *ownedHost, restarted bool, fx *effects) {
 	t.cancel()
-	t.lost = true
+	t.dropped = true
 	delete(p.hosts, t.host.Listing.Worker)
 	for _, r := range t.runs {
-		if lifeEnded {
+		if restarted {
 			p.finish(r, contract.RunEnded, 0, fx)
 			continue
 		}
@@ -181,55 +183,55 @@
 	}
 }
 
-// forget drops a run whose fate another owner decides. p.mu is held.
+// forget drops a run whose outcome another owner decides. p.mu is held.
 func (p *Pool) forget(r *run, fx *effects) {
 	worker := r.host.host.Listing.Worker
 	p.detach(r)
 	delete(p.runs, r.order.Key)
-	p.barred[r.order.Key] = barrier{at: p.o.Now(), state: contract.RunLost}
+	p.barredRuns[r.order.Key] = barredRun{at: p.o.Now(), state: contract.RunLost}
 	fx.reports = append(fx.reports, report{r.home, contract.RunReport{
-		Key: r.order.Key, State: contract.RunLost, Worker: worker, Ran: r.ran,
+		Key: r.order.Key, State: contract.RunLost, Worker: worker, Ran: r.mayHaveRun,
 	}})
 }
 
-// Order queues a task, unless its run is known already. fresh is a time before which the home cannot have sent the order:
-// one that the network has delayed is not carried out, since the home counts the run as lost by then.
-func (p *Pool) Order(home string, o contract.TaskOrder, fresh time.Time) {
+// Order queues a task, unless its run is already known. The home cannot have sent the order before sentAfter: an order
+// that the network has delayed for too long is rejected, since its home already treats the run as lost.
+func (p *Pool) Order(home string, o contract.TaskOrder, sentAfter time.Time) {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
-	p.order(home, o, fresh, now, &fx)
+	p.order(home, o, sentAfter, now, &fx)
 	p.match(now, &fx)
 	p.mu.Unlock()
 	p.apply(fx)
 }
 
-func (p *Pool) order(home string, o contract.TaskOrder, fresh, now time.Time, fx *effects) {
+func (p *Pool) order(home string, o contract.TaskOrder, sentAfter, now time.Time, fx *effects) {
 	if r, ok := p.runs[o.Key]; ok {
 		if !r.claimed {
-			r.refreshed = fresh
+			r.refreshedAt = sentAfter
 		}
-		r.home, r.refreshed, r.claimed = home, later(r.refreshed, fresh), true
+		r.home, r.refreshedAt, r.claimed = home, later(r.refreshedAt, sentAfter), true
 		if r.order.Spec == nil {
-			p.describe(r, o)
+			p.completeOrder(r, o)
 		}
 		if r.state != runWaiting {
 			fx.report(r)
 		}
 		return
 	}
-	if b, ok := p.barred[o.Key]; ok || o.Claim {
+	if b, ok := p.barredRuns[o.Key]; ok || o.Claim {
 		if !ok {
-			// The claimed run may be alive on a worker that this VM does not own any more.
-			b = barrier{at: now, state: contract.RunLost}
-			p.barred[o.Key] = b
+			// The claimed run may be alive on a worker that this VM no longer owns.
+			b = barredRun{at: now, state: contract.RunLost}
+			p.barredRuns[o.Key] = b
 		}
 		fx.reports = append(fx.reports, report{home, contract.RunReport{Key: o.Key, State: b.state}})
 		return
 	}
-	if now.Sub(fresh) > refreshTimeout {
-		p.o.Logger.Warn("order was delayed by the network; not carried out", "task", o.Key.String(), "home", home,
-			"older_than", now.Sub(fresh))
+	if now.Sub(sentAfter) > refreshTimeout {
+		p.o.Logger.Warn("order was delayed by the network; rejected", "task", o.Key.String(), "home", home,
+			"older_than", now.Sub(sentAfter))
 		p.reportUnknown(home, o.Key, now, fx)
 		return
 	}
@@ -237,9 +239,9 @@
 		fx.reports = append(fx.reports, report{home, contract.RunReport{Key: o.Key, State: contract.RunInfeasible}})
 		return
 	}
-	r := &run{order: o, home: home, refreshed: fresh, queued: now, claimed: true}
-	_, r.committed = p.begun[o.Key.Batch]
-	r.veryLate = o.Accepted.Add(veryLateFactor * o.Target.Sub(o.Accepted))
+	r := &run{order: o, home: home, refreshedAt: sentAfter, queuedAt: now, claimed: true}
+	_, r.committed = p.lastStarts[o.Key.Batch]
+	r.veryLateAfter = o.Accepted.Add(veryLateFactor * o.Target.Sub(o.Accepted))
 	p.runs[o.Key] = r
 	p.waiting.push(r)
 	p.learnSize(o.Need)
@@ -252,8 +254,8 @@
 	return a
 }
 
-// describe completes a run that was found on a worker with what its home says of it. p.mu is held.
-func (p *Pool) describe(r *run, o contract.TaskOrder) {
+// completeOrder fills in the order of a run that was found on a worker from the claim of its home. p.mu is held.
+func (p *Pool) completeOrder(r *run, o contract.TaskOrder) {
 	if r.host != nil {
 		r.host.host.Release(r.order.Need)
 		r.host.host.Reserve(o.Need)
@@ -271,9 +273,9 @@
 	return false
 }
 
-// Refresh keeps runs alive that the home wanted at a time after fresh. For a run that the pool does not know it reports
-// so, and never starts it later.
-func (p *Pool) Refresh(home string, keys []contract.RunKey, fresh time.Time) {
+// Refresh keeps runs alive that their home confirmed later than sentAfter. A run that the pool does not know is
+// reported as unknown and never started later.
+func (p *Pool) Refresh(home string, keys []contract.RunKey, sentAfter time.Time) {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -283,7 +285,7 @@
 			p.reportUnknown(home, k, now, &fx)
 			continue
 		}
-		r.refreshed = later(r.refreshed, fresh)
+		r.refreshedAt = later(r.refreshedAt, sentAfter)
 		if r.state == runFinal {
 			fx.report(r)
 		}
@@ -292,24 +294,24 @@
 	p.apply(fx)
 }
 
-// reportUnknown answers for a run that the pool does not hold, and bars its start. p.mu is held.
+// reportUnknown reports a run that the pool does not hold, and bars its start. p.mu is held.
 func (p *Pool) reportUnknown(home string, k contract.RunKey, now time.Time, fx *effects) {
-	b, ok := p.barred[k]
+	b, ok := p.barredRuns[k]
 	if !ok {
 		b.state = contract.RunUnknown
 	}
 	b.at = now
-	p.barred[k] = b
+	p.barredRuns[k] = b
 	fx.reports = append(fx.reports, report{home, contract.RunReport{Key: k, State: b.state}})
 }
 
-// Withdraw ends runs. Those that wait never start; those that run are stopped.
-func (p *Pool) Withdraw(home string, keys []contract.RunKey) { p.end(home, keys, false) }
+// Withdraw ends runs. Queued runs never start; running ones are stopped.
+func (p *Pool) Withdraw(home string, keys []contract.RunKey) { p.withdrawAll(home, keys, false) }
 
-// Recall ends runs that wait. Those that have started go on.
-func (p *Pool) Recall(home string, keys []contract.RunKey) { p.end(home, keys, true) }
+// Recall ends queued runs. Those that have started continue.
+func (p *Pool) Recall(home string, keys []contract.RunKey) { p.withdrawAll(home, keys, true) }
 
-func (p *Pool) end(home string, keys []contract.RunKey, onlyWaiting bool) {
+func (p *Pool) withdrawAll(home string, keys []contract.RunKey, onlyWaiting bool) {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -336,18 +338,18 @@
 	case runWaiting:
 		p.waiting.remove(r)
 		p.finish(r, contract.RunEnded, 0, fx)
-	case runStarting, runDoubtful:
-		// The start's own goroutine stops the run once its call has returned.
-		r.unwanted = true
+	case runStarting, runInDoubt:
+		// The goroutine that makes the start call stops the run once the call has returned.
+		r.cancelled = true
 	case runRunning:
-		r.unwanted = true
+		r.cancelled = true
 		fx.stops = append(fx.stops, r)
 	case runFinal:
 		fx.report(r)
 	}
 }
 
-// Acknowledge releases the ends of runs.
+// Acknowledge discards the outcomes of runs.
 func (p *Pool) Acknowledge(keys []contract.RunKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -358,9 +360,9 @@
 	}
 }
 
-// HomeGone ends all runs of a home that is not heard any more. Their ends are kept: the home may only have stood still, and
-// must not take what has run for what has not.
-func (p *Pool) HomeGone(home string) {
+// HomeUnreachable ends all runs of a home that is no longer reachable. Their outcomes are retained: the home may only
+// have been paused, and must not treat a run that took place as one that did not.
+func (p *Pool) HomeUnreachable(home string) {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -375,12 +377,12 @@
 	p.match(now, &fx)
 	p.mu.Unlock()
 	if ended > 0 {
-		p.o.Logger.Info("home is gone; its runs are stopped", "home", home, "runs", ended)
+		p.o.Logger.Info("home is unreachable; stopping its runs", "home", home, "runs", ended)
 	}
 	p.apply(fx)
 }
 
-// Idle reports whether nothing waits or runs.
+// Idle reports whether no task is queued or running.
 func (p *Pool) Idle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -409,28 +411,29 @@
 	}
 }
 
-// sweep ends what nobody wants any more and forgets what is old.
+// sweep ends runs that are no longer refreshed or claimed, and drops expired records.
 func (p *Pool) sweep(now time.Time) {
 	var fx effects
 	p.mu.Lock()
-	for k, b := range p.barred {
+	for k, b := range p.barredRuns {
 		if now.Sub(b.at) > finalRetention {
-			delete(p.barred, k)
+			delete(p.barredRuns, k)
 		}
 	}
-	for batch, at := range p.begun {
+	for batch, at := range p.lastStarts {
 		if now.Sub(at) > finalRetention {
-			delete(p.begun, batch)
+			delete(p.lastStarts, batch)
 		}
 	}
 	for k, r := range p.runs {
 		switch {
-		case r.state == runFinal && now.Sub(r.ended) > finalRetention:
+		case r.state == runFinal && now.Sub(r.endedAt) > finalRetention:
 			delete(p.runs, k)
-		case r.state == runFinal || r.unwanted:
-		case !r.claimed && now.Sub(r.queued) > claimWindow, r.claimed && now.Sub(r.refreshed) > refreshTimeout:
-			p.o.Logger.Info("run is not wanted any more", "task", k.String(), "home", r.home, "claimed", r.claimed,
-				"since_refresh", now.Sub(r.refreshed))
+		case r.state == runFinal || r.cancelled:
+		case !r.claimed && now.Sub(r.queuedAt) > claimWindow, r.claimed && now.Sub(r.refreshedAt) > refreshTimeout:
+			p.o.Logger.Info("run was not refreshed or claimed; stopping it", "task", k.String(), "home", r.home,
+				"claimed", r.claimed,
+				"since_refresh", now.Sub(r.refreshedAt))
 			p.counter(metric.PoolRunsUnwanted).Inc(1)
 			p.withdraw(r, &fx)
 		}
@@ -443,13 +446,13 @@
 	p.apply(fx)
 }
 
-// sweepHost ends the runs of a worker that has not answered for so long that their lease has lapsed. p.mu is held.
+// sweepHost ends the runs of a worker that has not replied until their lease expired. p.mu is held.
 func (p *Pool) sweepHost(t *ownedHost, now time.Time, fx *effects) {
 	if len(t.runs) == 0 || now.Before(t.host.LapsedBy()) {
 		return
 	}
-	p.o.Logger.Warn("worker does not answer; its runs have lapsed", "worker", t.host.Listing.Worker, "runs", len(t.runs),
-		"since_contact", now.Sub(t.host.Contacted()))
+	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", t.host.Listing.Worker,
+		"runs", len(t.runs), "since_contact", now.Sub(t.host.Contacted()))
 	for _, r := range t.runs {
 		if r.state == runStarting {
 			continue
@@ -459,7 +462,7 @@
 	t.host.Stalled(now)
 }
 
-// Owned returns the workers whose ownership this VM has acquired and not lost.
+// Owned returns the workers that this VM has acquired and still owns.
 func (p *Pool) Owned() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -472,9 +475,9 @@
 	return ids
 }
 
-// Occupied returns the processor time, in thousandths of a core, that the runs on each worker hold, without the idle
+// ReservedCPU returns the CPU that is reserved for runs on each worker, in thousandths of a core, without idle
 // workers.
-func (p *Pool) Occupied() map[string]int {
+func (p *Pool) ReservedCPU() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := make(map[string]int)
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -20,27 +20,27 @@
 
 const testHome = "home/1"
 
-// observer keeps the order in which tasks start. mu guards it.
-type observer struct {
+// startObserver records the order in which tasks start. mu guards it.
+type startObserver struct {
 	mu      sync.Mutex
 	started []string
 	workers map[string]string
 }
 
-func (o *observer) Started(worker string, key contract.RunKey) {
+func (o *startObserver) Started(worker string, key contract.RunKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.started = append(o.started, key.Batch)
 	o.workers[key.Batch] = worker
 }
 
-func (o *observer) Ended(string, contract.RunKey, contract.RunState, time.Time) {}
+func (o *startObserver) Ended(string, contract.RunKey, contract.RunState, time.Time) {}
 
-// hostCalls reaches stand-ins of workers without a network.
+// hostCalls calls stand-ins of workers without a network.
 type hostCalls struct {
 	hosts map[string]*standin.RunHost
-	// stopsFail makes all stops get no answer and have no effect.
-	stopsFail bool
+	// dropStops makes all stop calls time out without effect.
+	dropStops bool
 }
 
 func (c *hostCalls) Start(
@@ -52,7 +52,7 @@
 func (c *hostCalls) Stop(
 	ctx context.Context, a link.HostAddress, k contract.RunKey, token uint64,
 ) (link.HostReply, error) {
-	if c.stopsFail {
+	if c.dropStops {
 		<-ctx.Done()
 		return link.HostReply{}, ctx.Err()
 	}
@@ -65,28 +65,29 @@
 
 func (c *hostCalls) Forget(link.HostAddress) {}
 
-// bench is a pool with workers. Tasks take the number of milliseconds in takes, by job.
-type bench struct {
-	pool    *Pool
-	calls   *hostCalls
-	list    []machine.Listing
-	seen    *observer
-	takes   map[string]time.Duration
-	sizes   map[string]int
-	mu      sync.Mutex
-	reports map[contract.RunKey]contract.RunReport
+// fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job.
+type fixture struct {
+	pool     *Pool
+	calls    *hostCalls
+	list     []machine.Listing
+	observer *startObserver
+	takes    map[string]time.Duration
+	sizes    map[string]int
+	mu       sync.Mutex
+	reports  map[contract.RunKey]contract.RunReport
 }
 
-func newBench(workers int) *bench {
-	b := &bench{
-		calls: &hostCalls{hosts: make(map[string]*standin.RunHost)}, seen: &observer{workers: make(map[string]string)}, takes: make(map[string]time.Duration),
+func newFixture(workers int) *fixture {
+	b := &fixture{
+		calls: &hostCalls{hosts: make(map[string]*standin.RunHost)}, observer: &startObserver{workers: make(map[string]string)},
+		takes: make(map[string]time.Duration),
 		sizes: make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
 		capacity := machine.Resources{CPUMillis: 2000, MemoryMB: 1000}
 		h := standin.NewRunHost(standin.RunHostOptions{
-			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.seen,
+			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
 			Work: func(k contract.RunKey) standin.RunOutcome {
 				return standin.RunOutcome{Takes: b.takes[k.Batch], Stalls: b.takes[k.Batch] == 0}
 			},
@@ -110,7 +111,7 @@
 }
 
 // order orders one task of a job.
-func (b *bench) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
+func (b *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
 	b.sizes[job] = cpu
 	if _, ok := b.takes[job]; !ok {
 		b.takes[job] = 100 * time.Millisecond
@@ -124,17 +125,17 @@
 	return key
 }
 
-func (b *bench) state(k contract.RunKey) contract.RunState {
+func (b *fixture) state(k contract.RunKey) contract.RunState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reports[k].State
 }
 
-// Answers a load beyond the room of the workers. Guards against urgent work that waits behind less urgent work, and against
-// late work that takes the room of work that can still be in time.
+// Guards against urgent tasks queued behind less urgent ones, and against late tasks that take capacity from tasks
+// that can still meet their target. One worker gets more tasks than it can run at once.
 func TestOrderOfWaitingTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		b.order("first", 2000, 0, time.Second, 5*time.Second)
 		b.order("late", 2000, 0, 50*time.Millisecond, 5*time.Second)
@@ -142,14 +143,14 @@
 		b.order("high", 2000, 0, 4*time.Second, 5*time.Second)
 		b.order("soon", 2000, 0, 3*time.Second, 5*time.Second)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, b.seen.started)
+		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, b.observer.started)
 	})
 }
 
 // Guards against large tasks that never start because small ones fill each gap.
 func TestLargeTaskIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		for i := range 40 {
 			b.order(fmt.Sprintf("small-%d", i), 1000, 1, 20*time.Second, 30*time.Second)
@@ -160,14 +161,14 @@
 				time.Sleep(45 * time.Millisecond)
 			}
 		}
-		require.Contains(t, b.seen.started, "large")
+		require.Contains(t, b.observer.started, "large")
 	})
 }
 
-// Guards against a run that stands still and holds its room and its job until the lease ends with the home.
+// Guards against a stalled run that occupies its worker and delays its job for as long as its home refreshes it.
 func TestStalledRunIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		b.takes["stalls"] = 0
 		key := b.order("stalls", 1000, 0, time.Second, 5*time.Second)
@@ -179,10 +180,10 @@
 	})
 }
 
-// Guards against new tasks on a worker that drains, and against tasks that wait for a worker that cannot run them.
-func TestDrainingWorkerGetsNothing(t *testing.T) {
+// Guards against new tasks on a draining worker, and against tasks queued for workers that cannot run them.
+func TestDrainingWorkerGetsNoTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(2)
+		b := newFixture(2)
 		defer b.pool.Close()
 		b.list[0].Draining = true
 		b.pool.SetHosts(b.list)
@@ -190,8 +191,8 @@
 			b.order(fmt.Sprintf("job-%d", i), 1000, 0, time.Second, 5*time.Second)
 		}
 		time.Sleep(600 * time.Millisecond)
-		require.Len(t, b.seen.workers, 6)
-		for job, worker := range b.seen.workers {
+		require.Len(t, b.observer.workers, 6)
+		for job, worker := range b.observer.workers {
 			require.Equal(t, "w1", worker, job)
 		}
 		b.list[1].Draining = true
@@ -200,15 +201,15 @@
 	})
 }
 
-// Guards against work that goes on after its home is gone, or does not refresh it any more.
-func TestRunsNeedTheirHome(t *testing.T) {
+// Guards against runs that continue after their home is unreachable or no longer refreshes them.
+func TestRunsStopWithoutTheirHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		b.takes["gone"], b.takes["silent"] = 10*time.Second, 10*time.Second
 		gone := b.order("gone", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		b.pool.HomeGone(testHome)
+		b.pool.HomeUnreachable(testHome)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunEnded, b.state(gone))
 		silent := b.order("silent", 1000, 0, time.Second, 20*time.Second)
@@ -217,21 +218,21 @@
 	})
 }
 
-// slowCalls answers looks after a round trip.
-type slowCalls struct{ *hostCalls }
+// delayedCalls answers polls after a round trip.
+type delayedCalls struct{ *hostCalls }
 
-func (c slowCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
+func (c delayedCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
 	time.Sleep(5 * time.Millisecond)
 	return c.hostCalls.Hold(ctx, a, h)
 }
 
-// Guards against a run that counts as over because the answer to an earlier look, made before its start arrived, is delivered
-// after a later look has found the run.
-func TestDelayedLookEndsNoRun(t *testing.T) {
+// Guards against a run that is declared ended when the reply to an early poll, made before its start arrived, is
+// delivered after a later poll has listed the run.
+func TestDelayedPollReplyEndsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
-		b.pool.o.Calls = slowCalls{b.calls}
+		b.pool.o.Calls = delayedCalls{b.calls}
 		b.takes["a"] = 5 * time.Second
 		b.calls.hosts["w0"].SetLosingAnswers(true)
 		start := time.Now()
@@ -242,21 +243,21 @@
 		host := b.pool.hosts["w0"]
 		b.pool.mu.Unlock()
 		early := link.HoldReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), Born: b.list[0].Born}}
-		b.pool.held(host, start.Add(time.Millisecond), early, nil)
+		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
 		require.Equal(t, contract.RunStarted, b.state(key))
 	})
 }
 
-// Guards against a run that outlives the time at which its client sends the job again, 1.3 s after its home has died, when
-// its stop does not reach the worker while other runs keep the lease of the worker alive.
-func TestRunOfALostHomeLapsesBeforeItsJobIsSentAgain(t *testing.T) {
+// Guards against a run that is still alive when its client submits the job again, 1.3 s after its home has died. The
+// run's stop call does not reach the worker, while another run keeps the lease of the worker alive.
+func TestRunOfLostHomeExpiresBeforeResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		b.takes["lost"], b.takes["kept"] = 5*time.Second, 5*time.Second
 		lost := b.order("lost", 500, 0, time.Second, 10*time.Second)
 		kept := b.order("kept", 500, 0, time.Second, 10*time.Second)
-		b.calls.stopsFail = true
+		b.calls.dropStops = true
 		for died := time.Now(); time.Since(died) < 1300*time.Millisecond; time.Sleep(100 * time.Millisecond) {
 			b.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
 		}
@@ -268,11 +269,11 @@
 	})
 }
 
-// Guards against runs that count as over because the entry of a restarted worker names another life than its answers: the
-// task would be started again beside them.
-func TestEntryOfAnotherLifeEndsNoRun(t *testing.T) {
+// Guards against runs that are declared ended because the listing of a restarted worker names another incarnation than
+// its replies: the task would be started a second time.
+func TestListingOfOtherIncarnationEndsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		b.calls.hosts["w0"].Crash()
 		time.Sleep(time.Second)
@@ -289,11 +290,11 @@
 	})
 }
 
-// Guards against a restarted worker that nobody can own: a call with the fencing token of its last life has reached it, and
-// the tokens of later owners were lower because they counted from its new clock.
-func TestTokenOfTheLastLifeKeepsNoOwnerOut(t *testing.T) {
+// Guards against a restarted worker that no VM can acquire. A call with the fencing token of the previous incarnation
+// has reached it, and later owners had lower tokens because these counted from its new clock.
+func TestTokenOfPreviousIncarnationDoesNotBlockOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		b.pool.Close()
 		time.Sleep(time.Minute)
 		last := New(b.pool.o)
@@ -312,12 +313,12 @@
 	})
 }
 
-// Guards against workers that no later owner can acquire: a look at a worker with another owner is fenced, and its answer does
-// not say when the worker started, from which the token counts.
-func TestNextOwnerAcquiresAWorker(t *testing.T) {
+// Guards against workers that no later owner can acquire: a probe of a worker with another owner is fenced, and its
+// reply does not contain the start time from which tokens are derived.
+func TestNextOwnerAcquiresWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Hour)
-		b := newBench(1)
+		b := newFixture(1)
 		b.pool.Close()
 		next := New(b.pool.o)
 		defer next.Close()
@@ -327,10 +328,10 @@
 	})
 }
 
-// Guards against more tasks of a step on one worker than its limit allows, and against a limit that keeps other jobs out.
+// Guards against exceeding the limit of tasks of a step per worker, and against a limit that affects other jobs.
 func TestLimitOfTasksPerWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(2)
+		b := newFixture(2)
 		defer b.pool.Close()
 		b.sizes["spread"], b.takes["spread"] = 500, time.Second
 		now := time.Now()
@@ -343,16 +344,16 @@
 		}
 		b.order("other", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		require.ElementsMatch(t, []string{"spread", "spread", "other"}, b.seen.started)
+		require.ElementsMatch(t, []string{"spread", "spread", "other"}, b.observer.started)
 	})
 }
 
-// Answers a load of half as much again as the room, in jobs of three tasks. Guards against room that is spent on parts of jobs
-// which are never completed: the rest of a begun job must not wait behind the first tasks of newer ones.
-func TestBegunJobsAreCompletedUnderOverload(t *testing.T) {
+// Guards against capacity spent on jobs that are never completed: under a load of 1.5 times the capacity, the
+// remaining tasks of started jobs must not wait behind the first tasks of newer ones.
+func TestStartedJobsAreCompletedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, tasks = 60, 3
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		for i := range jobs {
 			job := fmt.Sprintf("job-%d", i)
@@ -387,21 +388,21 @@
 				complete++
 			}
 		}
-		room := jobs * 2 / tasks
-		require.Greater(t, complete, room*3/4, "jobs completed, where the room is enough for %d", room)
+		capacity := jobs * 2 / tasks
+		require.Greater(t, complete, capacity*3/4, "completed jobs; the capacity suffices for %d", capacity)
 	})
 }
 
-// Guards against a refusal that is not true: a home that stood still must learn that its run has ended, although its owner has
-// meanwhile counted it as gone.
-func TestEndsOutliveTheSilenceOfTheirHome(t *testing.T) {
+// Guards against a false refusal: a home that was paused must learn that its run has ended, although the owner has
+// meanwhile treated the home as unreachable.
+func TestOutcomesAreRetainedForUnreachableHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1)
+		b := newFixture(1)
 		defer b.pool.Close()
 		key := b.order("a", 1000, 0, time.Second, 10*time.Second)
 		time.Sleep(300 * time.Millisecond)
 		require.Equal(t, contract.RunDone, b.state(key))
-		b.pool.HomeGone(testHome)
+		b.pool.HomeUnreachable(testHome)
 		b.mu.Lock()
 		clear(b.reports)
 		b.mu.Unlock()
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// queue holds the waiting runs of a pool. It answers loads beyond the room of the workers: the order decides who is
-// served late. Its owner's lock guards it.
+// queue holds the queued runs of a pool. When demand exceeds the capacity of the workers, its order decides which runs
+// are late. The lock of the pool guards it.
 type queue struct {
 	runs []*run
 }
@@ -19,10 +19,10 @@
 	}
 }
 
-// sort orders the runs by urgency at a time, for a worker of a speed: first what can still meet its latency target there,
-// by priority and then by the target, and what completes a job that has been begun: its other tasks would have run for
-// nothing; behind it what is late, then what is so late that its answer is worth little, last
-// what cannot end inside its time limit any more.
+// sort orders the runs by urgency at a given time, for a worker of a given speed. First come runs that can still meet
+// their latency target there, by priority and then by target, together with the remaining runs of started jobs, whose
+// completed tasks would otherwise be wasted; then late runs, then runs so late that their answer is worth little, last
+// runs that cannot end before their deadline.
 func (q *queue) sort(now time.Time, speed float64) {
 	for _, r := range q.runs {
 		r.class = r.lateness(now, speed)
@@ -38,11 +38,11 @@
 	})
 }
 
-// lateness says what an answer is worth that a run can still lead to.
+// lateness classifies a run by the value of the answer that it can still produce.
 type lateness uint8
 
 const (
-	inTime lateness = iota
+	onTime lateness = iota
 	late
 	// veryLate answers come after three times the latency target.
 	veryLate
@@ -57,14 +57,14 @@
 	switch {
 	case end.After(r.order.Deadline):
 		return tooLate
-	case end.After(r.veryLate):
+	case end.After(r.veryLateAfter):
 		return veryLate
 	case end.After(r.order.Target) && !r.committed:
 		return late
 	default:
-		return inTime
+		return onTime
 	}
 }
 
-// minMatchSpeed bounds the run time that is expected of a very slow worker.
+// minMatchSpeed limits the run time predicted for a very slow worker.
 const minMatchSpeed = 0.1
--- a/pool/run.go
+++ b/pool/run.go
@@ -7,16 +7,16 @@
 	"github.com/cicadadale/cicadadale/metric"
 )
 
-// runState is where a run stands at its owner.
+// runState is the state of a run at its owner.
 type runState uint8
 
 const (
 	// runWaiting runs are in the queue.
 	runWaiting runState = iota
-	// runStarting runs have a start call under way.
+	// runStarting runs have a start call in progress.
 	runStarting
-	// runDoubtful runs have a start call that was not answered.
-	runDoubtful
+	// runInDoubt runs have a start call that got no reply.
+	runInDoubt
 	runRunning
 	runFinal
 )
@@ -27,27 +27,27 @@
 	home  string
 	state runState
 	host  *ownedHost
-	// claimed is false for a run that was found on a worker and that no home has asked for yet.
-	claimed  bool
-	unwanted bool
-	// ran is set while a start is under way, and stays set unless the worker has provably rejected it.
-	ran bool
+	// claimed is false for a run that was found on a worker and has not been claimed by its home yet.
+	claimed   bool
+	cancelled bool
+	// mayHaveRun is set when a start call is made, and cleared only if the run has provably not started.
+	mayHaveRun bool
 
-	// committed is set once another task of the job has been started here.
+	// committed is set once another task of the job has been started in this pool.
 	committed bool
-	// veryLate is when an answer is worth little, class the lateness that the last sorting found.
-	veryLate time.Time
-	class    lateness
+	// veryLateAfter is the time after which an answer is worth little, class the lateness found by the last sort.
+	veryLateAfter time.Time
+	class         lateness
 
-	queued     time.Time
-	refreshed  time.Time
-	token      uint64
-	started    time.Time
-	answered   time.Time
-	progress   int
-	progressAt time.Time
-	ended      time.Time
-	outcome    contract.RunReport
+	queuedAt    time.Time
+	refreshedAt time.Time
+	token       uint64
+	startedAt   time.Time
+	answeredAt  time.Time
+	progress    int
+	progressAt  time.Time
+	endedAt     time.Time
+	outcome     contract.RunReport
 }
 
 // report is a message to a home.
@@ -56,15 +56,15 @@
 	contract.RunReport
 }
 
-// effects are the calls that a decision leads to. They are made after the pool's lock is released.
+// effects are the calls that result from a decision. They are made after the pool's lock is released.
 type effects struct {
 	starts  []startEffect
 	stops   []*run
-	doubts  []*run
+	inDoubt []*run
 	reports []report
 }
 
-// startEffect is a start call, with the values that the decision has fixed.
+// startEffect is a start call with the values fixed by the decision.
 type startEffect struct {
 	run      *run
 	host     *ownedHost
@@ -72,8 +72,9 @@
 	leaseEnd time.Duration
 }
 
-// report adds a report on the run's present state. A run counts as started only once its worker has confirmed it: until
-// then it may still go to another worker, and the worker's next owner must not be able to declare it over.
+// report adds a report of the run's current state. A run is reported as started only once its worker has confirmed it:
+// until then it may still move to another worker, and the next owner of the worker must not be able to declare it
+// ended.
 func (fx *effects) report(r *run) {
 	msg := r.outcome
 	switch r.state {
@@ -84,7 +85,7 @@
 			msg.Worker = r.host.host.Listing.Worker
 		}
 	default:
-		msg = contract.RunReport{Key: r.order.Key, State: contract.RunQueued, Ran: r.ran}
+		msg = contract.RunReport{Key: r.order.Key, State: contract.RunQueued, Ran: r.mayHaveRun}
 	}
 	fx.reports = append(fx.reports, report{r.home, msg})
 }
@@ -102,12 +103,12 @@
 	for _, r := range fx.stops {
 		p.spawn(func() { p.stop(r) })
 	}
-	for _, r := range fx.doubts {
-		p.spawn(func() { p.resolve(r) })
+	for _, r := range fx.inDoubt {
+		p.spawn(func() { p.resolveInDoubt(r) })
 	}
 }
 
-// finish records the end of a run and frees its room. p.mu is held.
+// finish records the outcome of a run and frees its capacity. p.mu is held.
 func (p *Pool) finish(r *run, state contract.RunState, took time.Duration, fx *effects) {
 	if r.state == runFinal {
 		return
@@ -118,14 +119,15 @@
 		worker = r.host.host.Listing.Worker
 	}
 	p.detach(r)
-	r.state, r.ended = runFinal, now
-	r.outcome = contract.RunReport{Key: r.order.Key, State: state, Worker: worker, Token: r.token, Ran: r.ran, RunTime: took}
+	r.state, r.endedAt = runFinal, now
+	r.outcome = contract.RunReport{Key: r.order.Key, State: state, Worker: worker, Token: r.token, Ran: r.mayHaveRun,
+		RunTime: took}
 	fx.report(r)
 	p.o.Logger.Info("run ended", "task", r.order.Key.String(), "state", state.String(), "worker", worker,
 		"run_time", took, "home", r.home)
 }
 
-// detach frees what a run holds. p.mu is held.
+// detach removes a run from the queue and frees its capacity. p.mu is held.
 func (p *Pool) detach(r *run) {
 	if r.state == runWaiting {
 		p.waiting.remove(r)
@@ -138,10 +140,10 @@
 	r.host = nil
 }
 
-// requeue puts a run back whose start has provably not happened. p.mu is held.
+// requeue returns a run to the queue that has provably not started. p.mu is held.
 func (p *Pool) requeue(r *run, fx *effects) {
-	r.ran = false
-	if r.unwanted {
+	r.mayHaveRun = false
+	if r.cancelled {
 		p.finish(r, contract.RunEnded, 0, fx)
 		return
 	}
--- a/pool/start.go
+++ b/pool/start.go
@@ -14,20 +14,21 @@
 
 const (
 	// callTimeout bounds a call that the worker answers at once; a round trip between zones takes 3 to 6 ms, and a lost
-	// packet is sent again after 200 ms.
+	// packet is retransmitted after 200 ms.
 	callTimeout = 300 * time.Millisecond
-	// startTimeout bounds a start. A start that takes longer is looked for in the worker's list, which does no harm.
+	// startTimeout bounds a start call. A start that takes longer is resolved by a poll, which is harmless.
 	startTimeout = 150 * time.Millisecond
-	// suspectTime is how long a worker gets no tasks after a call without an answer, unless it answers the next one. One
-	// lost answer says little of the worker: where orders get lost, it happens to all workers several times a second.
+	// suspectTime is how long a worker gets no tasks after a call without a reply, unless it replies to the next one. A
+	// single lost reply says little about the worker: on a lossy network it happens to all workers several times a
+	// second.
 	suspectTime = 400 * time.Millisecond
-	// roomRetry is the time for which a worker that has less room than known gets no task.
-	roomRetry = 50 * time.Millisecond
-	// stopRetry is the pause between stop calls that are not answered.
+	// capacityRetry is how long a worker gets no tasks after it has rejected a start for lack of capacity.
+	capacityRetry = 50 * time.Millisecond
+	// stopRetry is the pause between stop calls that get no reply.
 	stopRetry = 50 * time.Millisecond
 )
 
-// start makes one start call and records its outcome.
+// start makes one start call and records its result.
 func (p *Pool) start(s startEffect) {
 	p.counter(metric.PoolStarts).Inc(1)
 	ctx, cancel := context.WithTimeout(p.ctx, startTimeout)
@@ -39,30 +40,30 @@
 	var fx effects
 	p.mu.Lock()
 	if s.run.state == runStarting && s.run.host == s.host {
-		p.started(s, verdict, reply, err, now, &fx)
+		p.handleStartReply(s, verdict, reply, err, now, &fx)
 	}
 	p.match(now, &fx)
 	p.mu.Unlock()
 	p.apply(fx)
 }
 
-// started records the answer to a start call. p.mu is held.
-func (p *Pool) started(
+// handleStartReply processes the reply to a start call. p.mu is held.
+func (p *Pool) handleStartReply(
 	s startEffect, verdict link.StartVerdict, reply link.HostReply, err error, now time.Time, fx *effects,
 ) {
 	r, t := s.run, s.host
 	if err != nil {
-		p.startFailed(s, err, now, fx)
+		p.handleStartError(s, err, now, fx)
 		return
 	}
 	t.host.SetClock(reply.Clock, now)
 	if verdict == link.StartAccepted {
-		r.state, r.answered = runRunning, now
-		metric.Histogram(metric.PoolQueueTime, p.o.Metrics).Update(r.started.Sub(r.queued).Microseconds())
-		metric.Histogram(metric.PoolCallTime, p.o.Metrics).Update(now.Sub(r.started).Microseconds())
+		r.state, r.answeredAt = runRunning, now
+		metric.Histogram(metric.PoolQueueTime, p.o.Metrics).Update(r.startedAt.Sub(r.queuedAt).Microseconds())
+		metric.Histogram(metric.PoolCallTime, p.o.Metrics).Update(now.Sub(r.startedAt).Microseconds())
 		p.o.Logger.Info("run started", "task", r.order.Key.String(), "worker", t.host.Listing.Worker, "token", s.token,
-			"queued_for", r.started.Sub(r.queued), "call_took", now.Sub(r.started), "home", r.home)
-		if r.unwanted {
+			"queued_for", r.startedAt.Sub(r.queuedAt), "call_took", now.Sub(r.startedAt), "home", r.home)
+		if r.cancelled {
 			fx.stops = append(fx.stops, r)
 			return
 		}
@@ -73,17 +74,17 @@
 		"verdict", verdict.String(), "token", s.token)
 	switch verdict {
 	case link.StartSuperseded:
-		r.ran = false
+		r.mayHaveRun = false
 		p.finish(r, contract.RunEnded, 0, fx)
 		return
 	case link.StartInvalid:
-		r.ran = false
+		r.mayHaveRun = false
 		p.finish(r, contract.RunFailed, 0, fx)
 		return
 	case link.StartFenced:
 		p.loseOwnership(t, now, fx)
 	case link.StartNoRoom:
-		t.host.RejectedAsFull(now.Add(roomRetry))
+		t.host.RejectedAsFull(now.Add(capacityRetry))
 		t.wake()
 	case link.StartUnhealthy:
 		t.host.Failed(now)
@@ -93,49 +94,49 @@
 	p.requeue(r, fx)
 }
 
-// startFailed records a start call without an answer. p.mu is held.
-func (p *Pool) startFailed(s startEffect, err error, now time.Time, fx *effects) {
+// handleStartError processes a start call without a reply. p.mu is held.
+func (p *Pool) handleStartError(s startEffect, err error, now time.Time, fx *effects) {
 	r, t := s.run, s.host
 	p.o.Calls.Forget(t.address)
 	t.host.Unanswered(now.Add(suspectTime))
-	proven := errorx.HasTrait(err, fault.ProvenNotStarted)
-	p.o.Logger.Warn("start was not answered", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
-		"not_sent", proven, "error", err)
-	if proven {
+	notStarted := errorx.HasTrait(err, fault.ProvenNotStarted)
+	p.o.Logger.Warn("worker did not answer a start", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
+		"not_sent", notStarted, "error", err)
+	if notStarted {
 		p.requeue(r, fx)
 		return
 	}
 	p.counter(metric.PoolStartsInDoubt).Inc(1)
-	r.state = runDoubtful
-	fx.doubts = append(fx.doubts, r)
+	r.state = runInDoubt
+	fx.inDoubt = append(fx.inDoubt, r)
 }
 
-// resolve finds out what became of a start that was not answered. A run that the worker lists goes on; one that it does
-// not list is stopped, which bars a start that arrives late.
-func (p *Pool) resolve(r *run) {
+// resolveInDoubt determines whether a start that got no reply was executed. A run that the worker lists continues; one
+// that it does not list is stopped, which bars a start that arrives late.
+func (p *Pool) resolveInDoubt(r *run) {
 	p.mu.Lock()
 	t := r.host
-	if r.state != runDoubtful || t == nil {
+	if r.state != runInDoubt || t == nil {
 		p.mu.Unlock()
 		return
 	}
-	hold := link.HostHold{Token: t.host.Token, LastSeen: t.host.LastSeen}
+	poll := link.HostHold{Token: t.host.Token, LastSeen: t.host.LastSeen}
 	p.mu.Unlock()
 	sent := p.o.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
-	reply, err := p.o.Calls.Hold(ctx, t.address, hold)
+	reply, err := p.o.Calls.Hold(ctx, t.address, poll)
 	cancel()
-	p.held(t, sent, reply, err)
+	p.handlePollReply(t, sent, reply, err)
 	p.mu.Lock()
-	doubtful := r.state == runDoubtful
+	inDoubt := r.state == runInDoubt
 	p.mu.Unlock()
-	if doubtful {
+	if inDoubt {
 		p.stop(r)
 	}
 }
 
-// stop ends a run at its worker, or bars it there. It tries until the worker answers, the lease has lapsed or another
-// decision has ended the run.
+// stop ends a run at its worker, or bars it there. It retries until the worker replies, the lease expires or the run
+// has ended otherwise.
 func (p *Pool) stop(r *run) {
 	for {
 		p.mu.Lock()
@@ -149,7 +150,7 @@
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		reply, err := p.o.Calls.Stop(ctx, address, r.order.Key, token)
 		cancel()
-		if p.stopped(r, t, reply, err) {
+		if p.handleStopReply(r, t, reply, err) {
 			return
 		}
 		select {
@@ -160,8 +161,8 @@
 	}
 }
 
-// stopped records the answer to a stop call. It reports whether nothing is left to be done.
-func (p *Pool) stopped(r *run, t *ownedHost, reply link.HostReply, err error) bool {
+// handleStopReply processes the reply to a stop call. It reports whether nothing is left to do.
+func (p *Pool) handleStopReply(r *run, t *ownedHost, reply link.HostReply, err error) bool {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -181,9 +182,9 @@
 		p.loseOwnership(t, now, &fx)
 		return true
 	}
-	// The run is over once its end is listed, or once a later look lists neither the run nor an end: then it was never
-	// there, and is barred now.
-	r.state, r.answered, r.unwanted = runRunning, now, true
+	// The run has ended once its outcome is listed, or once a later poll lists neither the run nor an outcome: then it
+	// never started there and is now barred.
+	r.state, r.answeredAt, r.cancelled = runRunning, now, true
 	t.wake()
 	p.match(now, &fx)
 	return true
