--- a/batch/home.go
+++ b/batch/home.go
@@ -17,38 +17,38 @@
 
 const (
 	shards = 16
-	// tickInterval is the time between looks at jobs for what only the passing of time decides.
+	// tickInterval is the time between periodic checks of all jobs.
 	tickInterval = 50 * time.Millisecond
 	// refreshInterval is the time between refreshes of runs; owners stop runs that are not refreshed for 800 ms.
 	refreshInterval = 200 * time.Millisecond
-	// lapse is the time after its last refresh at which a run is over for certain: owners let its lease end 1.2 s after it,
-	// on workers' clocks that may be 2% slow.
-	lapse = 1260 * time.Millisecond
+	// runExpiry is the time after its last refresh at which a run has certainly ended: owners let its lease end within
+	// 1.2 s, on workers' clocks that may run 2% slow.
+	runExpiry = 1260 * time.Millisecond
 	// answerRetention is how long the answer to a job is kept for repeated submissions.
 	answerRetention = 30 * time.Second
-	// moveAfter is the wait in an owner's queue after which a task moves to an owner with room.
+	// moveAfter is the wait in an owner's queue after which a task moves to an owner with free capacity.
 	moveAfter = 40 * time.Millisecond
-	// recallRetry is the time after which a recall is repeated that had no effect.
+	// recallRetry is the time after which a recall that had no effect is repeated.
 	recallRetry = 200 * time.Millisecond
-	// placeRetry is the pause before a task is placed again while no owner can take it.
+	// placeRetry is the pause before a task is placed again when no owner can take it.
 	placeRetry = 30 * time.Millisecond
 )
 
 // Owners sends messages to the owners of workers, this VM included. The calls do not block and do not call the home.
 type Owners interface {
 	Order(owner string, o contract.TaskOrder)
-	Refresh(p Place, keys []contract.RunKey)
-	Withdraw(p Place, keys []contract.RunKey)
-	// Recall withdraws only what has not started.
-	Recall(p Place, keys []contract.RunKey)
-	Acknowledge(p Place, keys []contract.RunKey)
+	Refresh(p PoolRef, keys []contract.RunKey)
+	Withdraw(p PoolRef, keys []contract.RunKey)
+	// Recall withdraws only runs that have not started.
+	Recall(p PoolRef, keys []contract.RunKey)
+	Acknowledge(p PoolRef, keys []contract.RunKey)
 }
 
-// Options are the parts of a home.
+// Options configure a home.
 type Options struct {
-	Owners Owners
-	Rooms  *zone.Rooms
-	// Fits reports whether any listed worker of a back end can hold a task, and whether the list is known at all.
+	Owners   Owners
+	Capacity *zone.Rooms
+	// Fits reports whether any listed worker of a back end can hold a task, and whether any worker is listed at all.
 	Fits    func(backend string, need machine.Resources, label string) (fits, known bool)
 	Now     func() time.Time
 	Logger  *slog.Logger
@@ -81,7 +81,7 @@
 	return h
 }
 
-// Close ends the home. Its runs end at their owners.
+// Close stops the home. The owners end its runs.
 func (h *Home) Close() {
 	h.cancel()
 	<-h.done
@@ -109,7 +109,7 @@
 	}
 }
 
-// tick does for all jobs what the passing of time decides.
+// tick advances all jobs, drops expired answers and refreshes runs.
 func (h *Home) tick(now time.Time, refresh bool) {
 	out := newOutbox()
 	for i := range h.shards {
@@ -117,7 +117,7 @@
 		s.mu.Lock()
 		for id, j := range s.jobs {
 			if j.state == jobEnded {
-				if now.Sub(j.ended) > answerRetention {
+				if now.Sub(j.endedAt) > answerRetention {
 					delete(s.jobs, id)
 				}
 				continue
@@ -132,8 +132,8 @@
 	out.send(h.o.Owners)
 }
 
-// Submit accepts a job, or joins the one that is known under its id, and waits for its answer. When ctx ends, the caller
-// is gone: a job that nobody waits for is cancelled.
+// Submit accepts a job, or joins the one that is known under its id, and waits for its answer. When ctx ends, the
+// caller has disconnected; a job without any waiting caller is cancelled.
 func (h *Home) Submit(ctx context.Context, b contract.Batch) Answer {
 	now := h.o.Now()
 	out := newOutbox()
@@ -166,13 +166,13 @@
 	case answer := <-waiter:
 		return answer
 	case <-ctx.Done():
-		return h.leave(b.ID, waiter)
+		return h.callerLeft(b.ID, waiter)
 	case <-h.done:
 		return Answer{Outcome: Abandoned, Reason: "the process ends"}
 	}
 }
 
-// accept decides on a new job. It returns the refusal of a job that cannot be served.
+// accept creates a new job, or returns the refusal of one that cannot be served.
 func (h *Home) accept(b contract.Batch, now time.Time) (*job, *Answer) {
 	for _, step := range b.Steps {
 		if fits, known := h.o.Fits(b.Backend, step.Need, step.RequiredLabel); known && !fits {
@@ -181,35 +181,36 @@
 			return nil, &Answer{Outcome: Failed, Reason: "no worker can hold the tasks"}
 		}
 	}
-	steps, expected, chain := h.plan(b)
-	wait, known := h.o.Rooms.Wait(b.Backend, b.Priority)
+	steps, expected, slowest := h.plan(b)
+	wait, known := h.o.Capacity.Wait(b.Backend, b.Priority)
 	left := b.Deadline.Sub(now)
-	if known && !(prospects{deadline: b.Deadline, expected: expected}).endsInTime(now, wait) {
-		h.o.Logger.Info("job refused: it cannot end in time", "job", b.ID, "route", b.Route, "wait", wait,
+	if known && !(forecast{deadline: b.Deadline, expected: expected}).meetsDeadline(now, wait) {
+		h.o.Logger.Info("job refused: cannot end before its deadline", "job", b.ID, "route", b.Route, "wait", wait,
 			"expected", expected, "time_left", left)
 		h.counter(metric.BatchJobsRefused).Inc(1)
 		return nil, &Answer{Outcome: Refused, Reason: "overloaded", RetryAfter: wait}
 	}
 	j := &job{batch: b, steps: steps, expected: expected, tasks: make([]task, 0, b.Tasks())}
-	j.target = b.Accepted.Add(time.Duration(b.TargetFactor*float64(chain)) + b.TargetSlack)
+	j.target = b.Accepted.Add(time.Duration(b.TargetFactor*float64(slowest)) + b.TargetSlack)
 	for s, step := range b.Steps {
 		for i := range step.Count {
-			j.tasks = append(j.tasks, task{step: s, index: i, run: firstRun(b.Accepted)})
+			j.tasks = append(j.tasks, task{step: s, index: i, run: firstRunNumber(b.Accepted)})
 		}
 	}
 	h.counter(metric.BatchJobsAccepted).Inc(1)
 	h.o.Logger.Info("job accepted", "job", b.ID, "route", b.Route, "tasks", len(j.tasks), "priority", b.Priority,
-		"steps", len(b.Steps), "estimate", b.Steps[0].Estimate, "expected_run", expected, "expected_wait", wait, "time_left", left, "target_in", j.target.Sub(now))
+		"steps", len(b.Steps), "estimate", b.Steps[0].Estimate, "expected_run", expected, "expected_wait", wait,
+		"time_left", left, "target_in", j.target.Sub(now))
 	return j, nil
 }
 
-// plan predicts the run times of the steps of a job. expected is the time that its longest chain of steps takes on the mean,
+// plan predicts the run times of the steps of a job. expected is the mean run time of its longest chain of steps,
 // slowest the same with the longest task of each step.
 func (h *Home) plan(b contract.Batch) (steps []step, expected, slowest time.Duration) {
 	steps = make([]step, len(b.Steps))
 	means, ends := make([]time.Duration, len(b.Steps)), make([]time.Duration, len(b.Steps))
 	for i, s := range b.Steps {
-		steps[i] = step{expected: h.kinds.expected(b.Route, s.Estimate), left: s.Count}
+		steps[i] = step{expected: h.kinds.expected(b.Route, s.Estimate), remaining: s.Count}
 		for _, d := range s.DependsOn {
 			means[i], ends[i] = max(means[i], means[d]), max(ends[i], ends[d])
 		}
@@ -220,16 +221,16 @@
 	return steps, expected, slowest
 }
 
-// runEpoch keeps the numbers of runs short. A job that is sent again to another home must have higher numbers than its
-// first runs, which workers refuse to repeat, so the numbers start from the time of day.
+// runEpoch keeps run numbers short. They start from the time of day, since a job that is submitted again to another
+// home must get higher numbers than its first runs, which workers refuse to repeat.
 var runEpoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func firstRun(accepted time.Time) uint64 {
+func firstRunNumber(accepted time.Time) uint64 {
 	return uint64(max(accepted.Sub(runEpoch).Milliseconds(), 1))
 }
 
-// leave records that a caller is gone.
-func (h *Home) leave(id string, waiter chan Answer) Answer {
+// callerLeft removes a caller that has disconnected, and cancels the job if it was the last one.
+func (h *Home) callerLeft(id string, waiter chan Answer) Answer {
 	now := h.o.Now()
 	out := newOutbox()
 	s := h.shard(id)
@@ -243,7 +244,7 @@
 			}
 		}
 		if len(j.waiters) == 0 && j.state == jobActive {
-			h.end(j, Cancelled, "caller left", now, out)
+			h.endJob(j, Cancelled, "caller left", now, out)
 			h.advance(j, now, out)
 		}
 	}
@@ -265,7 +266,7 @@
 	s.mu.Lock()
 	j, ok := s.jobs[id]
 	if ok && j.state == jobActive {
-		h.end(j, Cancelled, "cancelled by a caller", now, out)
+		h.endJob(j, Cancelled, "cancelled by a caller", now, out)
 		h.advance(j, now, out)
 	}
 	s.mu.Unlock()
--- a/batch/home_test.go
+++ b/batch/home_test.go
@@ -26,19 +26,19 @@
 }
 
 func (r *recorder) Order(_ string, o contract.TaskOrder) { r.orders = append(r.orders, o) }
-func (r *recorder) Refresh(Place, []contract.RunKey)     {}
-func (r *recorder) Recall(Place, []contract.RunKey)      {}
-func (r *recorder) Withdraw(_ Place, keys []contract.RunKey) {
+func (r *recorder) Refresh(PoolRef, []contract.RunKey)   {}
+func (r *recorder) Recall(PoolRef, []contract.RunKey)    {}
+func (r *recorder) Withdraw(_ PoolRef, keys []contract.RunKey) {
 	r.withdrawals = append(r.withdrawals, keys...)
 }
-func (r *recorder) Acknowledge(_ Place, keys []contract.RunKey) { r.acks = append(r.acks, keys...) }
+func (r *recorder) Acknowledge(_ PoolRef, keys []contract.RunKey) { r.acks = append(r.acks, keys...) }
 
 func newTestHome() (*Home, *recorder) {
-	rooms := zone.NewRooms("self/1", "z")
-	rooms.Update(testOwner, "z", false, map[string]*zone.BackendRoom{"s": {Free: 100, Slots: 100}})
+	capacity := zone.NewRooms("self/1", "z")
+	capacity.Update(testOwner, "z", false, map[string]*zone.BackendRoom{"s": {Free: 100, Slots: 100}})
 	out := &recorder{}
 	return New(Options{
-		Owners: out, Rooms: rooms, Now: time.Now, Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+		Owners: out, Capacity: capacity, Now: time.Now, Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 		Fits: func(_ string, need machine.Resources, _ string) (bool, bool) { return need.CPUMillis <= 64_000, true },
 	}), out
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// play submits a job, lets f play its owner, and returns the answer.
-func play(t *testing.T, b func() contract.Batch, f func(h *Home, out *recorder)) Answer {
+// withOwner submits a job, lets f act as its owner, and returns the answer.
+func withOwner(t *testing.T, b func() contract.Batch, f func(h *Home, out *recorder)) Answer {
 	t.Helper()
 	var answer Answer
 	synctest.Test(t, func(*testing.T) {
@@ -67,41 +67,42 @@
 	return answer
 }
 
-func tell(h *Home, key contract.RunKey, state contract.RunState, ran bool) {
-	h.Report(Place{Owner: testOwner, Backend: "s"}, contract.RunReport{Key: key, State: state, Ran: ran, Token: 1})
+func reportRun(h *Home, key contract.RunKey, state contract.RunState, ran bool) {
+	h.Report(PoolRef{Owner: testOwner, Backend: "s"}, contract.RunReport{Key: key, State: state, Ran: ran, Token: 1})
 }
 
-// Guards against a refusal of a job of which a run may have started: its owner went, and the run has only lapsed.
-func TestRefusalNeedsProof(t *testing.T) {
-	answer := play(t, func() contract.Batch { return testBatch(1, 3*time.Second) }, func(h *Home, _ *recorder) {
-		h.o.Rooms.Remove(testOwner)
-		h.OwnerGone(testOwner, time.Now())
+// Guards against refusing a job of which a run may have started: its owner became unreachable, and the lease of the
+// run only expired.
+func TestRefusalRequiresProofOfNoStart(t *testing.T) {
+	answer := withOwner(t, func() contract.Batch { return testBatch(1, 3*time.Second) }, func(h *Home, _ *recorder) {
+		h.o.Capacity.Remove(testOwner)
+		h.OwnerUnreachable(testOwner, time.Now())
 	})
 	require.Equal(t, Abandoned, answer.Outcome)
 }
 
-// Guards against a job that is said to have run, and is not sent elsewhere, although no run has started.
+// Guards against reporting that a job may have run although no run has started, so that it is not submitted elsewhere.
 func TestUnstartedJobIsRefused(t *testing.T) {
-	answer := play(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
-		h.o.Rooms.Remove(testOwner)
-		tell(h, out.orders[0].Key, contract.RunUnknown, false)
+	answer := withOwner(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
+		h.o.Capacity.Remove(testOwner)
+		reportRun(h, out.orders[0].Key, contract.RunUnknown, false)
 	})
 	require.Equal(t, Refused, answer.Outcome)
 }
 
-// Guards against an answer before all tasks have ended, and against ends that are not acknowledged.
-func TestAnswerIsComplete(t *testing.T) {
-	answer := play(t, func() contract.Batch { return testBatch(3, time.Second) }, func(h *Home, out *recorder) {
+// Guards against an answer before all tasks have ended, and against outcomes that are not acknowledged.
+func TestJobIsAnsweredAfterAllTasks(t *testing.T) {
+	answer := withOwner(t, func() contract.Batch { return testBatch(3, time.Second) }, func(h *Home, out *recorder) {
 		require.Len(t, out.orders, 3)
 		for _, o := range slices.Clone(out.orders) {
 			require.Equal(t, StateQueued, h.State("00000000000000aa"))
-			tell(h, o.Key, contract.RunQueued, false)
+			reportRun(h, o.Key, contract.RunQueued, false)
 		}
 		for _, o := range slices.Clone(out.orders) {
-			tell(h, o.Key, contract.RunStarted, true)
+			reportRun(h, o.Key, contract.RunStarted, true)
 			require.Equal(t, StateRunning, h.State("00000000000000aa"))
-			tell(h, o.Key, contract.RunDone, true)
-			tell(h, o.Key, contract.RunDone, true)
+			reportRun(h, o.Key, contract.RunDone, true)
+			reportRun(h, o.Key, contract.RunDone, true)
 		}
 		require.Len(t, out.acks, 6)
 		require.Equal(t, StateCompleted, h.State("00000000000000aa"))
@@ -109,20 +110,20 @@
 	require.Equal(t, Completed, answer.Outcome)
 }
 
-// Guards against a task that is tried more often, or less, than its route allows.
+// Guards against more or fewer attempts of a task than its route allows.
 func TestAttemptsAreCounted(t *testing.T) {
-	answer := play(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
-		tell(h, out.orders[0].Key, contract.RunFailed, true)
+	answer := withOwner(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
+		reportRun(h, out.orders[0].Key, contract.RunFailed, true)
 		require.Len(t, out.orders, 2)
 		require.Greater(t, out.orders[1].Key.Run, out.orders[0].Key.Run)
-		tell(h, out.orders[1].Key, contract.RunFailed, true)
+		reportRun(h, out.orders[1].Key, contract.RunFailed, true)
 		require.Len(t, out.orders, 2)
 	})
 	require.Equal(t, Failed, answer.Outcome)
 }
 
-// Guards against work that goes on after its caller has left.
-func TestWorkEndsWithItsCaller(t *testing.T) {
+// Guards against tasks that continue after their caller has disconnected.
+func TestTasksAreWithdrawnWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, out := newTestHome()
 		defer h.Close()
@@ -136,8 +137,8 @@
 	})
 }
 
-// Guards against a job that no worker can hold and that waits for one until its time limit.
-func TestImpossibleJobIsAnsweredAtOnce(t *testing.T) {
+// Guards against a job that waits until its deadline although no worker can hold it.
+func TestInfeasibleJobFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, out := newTestHome()
 		defer h.Close()
@@ -150,14 +151,14 @@
 	})
 }
 
-// Guards against a job that runs twice because it is sent again to the same home.
+// Guards against a job that runs twice because it is submitted again to the same home.
 func TestRepeatedSubmissionJoinsTheJob(t *testing.T) {
-	answer := play(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
+	answer := withOwner(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
 		again := make(chan Answer, 1)
 		go func() { again <- h.Submit(context.Background(), testBatch(1, time.Second)) }()
 		synctest.Wait()
 		require.Len(t, out.orders, 1)
-		tell(h, out.orders[0].Key, contract.RunDone, true)
+		reportRun(h, out.orders[0].Key, contract.RunDone, true)
 		require.Equal(t, Completed, (<-again).Outcome)
 		require.Equal(t, Completed, h.Submit(context.Background(), testBatch(1, time.Second)).Outcome)
 		require.Len(t, out.orders, 1)
@@ -165,13 +166,13 @@
 	require.Equal(t, Completed, answer.Outcome)
 }
 
-// Guards against a storm of orders: an owner whose messages are delayed rejects each order at once.
+// Guards against a flood of orders: an owner whose messages are delayed rejects each order at once.
 func TestRejectedOrdersAreSpaced(t *testing.T) {
-	play(t, func() contract.Batch { return testBatch(1, 3*time.Second) }, func(h *Home, out *recorder) {
+	withOwner(t, func() contract.Batch { return testBatch(1, 3*time.Second) }, func(h *Home, out *recorder) {
 		for begin, seen := time.Now(), 0; time.Since(begin) < time.Second; time.Sleep(time.Millisecond) {
 			orders := slices.Clone(out.orders)
 			for _, o := range orders[seen:] {
-				tell(h, o.Key, contract.RunUnknown, false)
+				reportRun(h, o.Key, contract.RunUnknown, false)
 			}
 			seen = len(orders)
 		}
@@ -180,10 +181,10 @@
 	})
 }
 
-// Guards against a step that starts before all tasks of the steps that it depends on are done, and against a job that is
-// answered before its last step.
-func TestStepsWaitForThoseTheyDependOn(t *testing.T) {
-	answer := play(t, func() contract.Batch {
+// Guards against a step that starts before all tasks of the steps that it depends on are done, and against an answer
+// before the last step.
+func TestStepsWaitForDependencies(t *testing.T) {
+	answer := withOwner(t, func() contract.Batch {
 		b := testBatch(2, 3*time.Second)
 		b.Steps = append(b.Steps, b.Steps[0], b.Steps[0])
 		b.Steps[1].Count, b.Steps[1].DependsOn = 1, []int{0}
@@ -199,8 +200,8 @@
 		}
 		finish := func(n int) {
 			key := out.orders[n].Key
-			tell(h, key, contract.RunStarted, true)
-			tell(h, key, contract.RunDone, true)
+			reportRun(h, key, contract.RunStarted, true)
+			reportRun(h, key, contract.RunDone, true)
 		}
 		finish(0)
 		time.Sleep(200 * time.Millisecond)
@@ -214,16 +215,16 @@
 	require.Equal(t, Completed, answer.Outcome)
 }
 
-// Guards against an answer that comes after the time limit: a refusal waits for the proof that nothing has started, which an
-// owner out of reach gives late or never.
-func TestUnprovenRefusalIsAnsweredAtTheTimeLimit(t *testing.T) {
+// Guards against an answer after the deadline: a refusal waits for the proof that nothing has started, which an
+// unreachable owner gives late or never.
+func TestUnprovenRefusalIsAnsweredAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := newTestHome()
 		defer h.Close()
 		begin := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() {
-			h.o.Rooms.Remove(testOwner)
-			h.OwnerGone(testOwner, time.Now())
+			h.o.Capacity.Remove(testOwner)
+			h.OwnerUnreachable(testOwner, time.Now())
 		})
 		answer := h.Submit(context.Background(), testBatch(1, time.Second))
 		require.Equal(t, Abandoned, answer.Outcome)
--- a/batch/job.go
+++ b/batch/job.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// taskState is where a task stands at its home.
+// taskState is the state of a task at its home.
 type taskState uint8
 
 const (
@@ -14,7 +14,7 @@
 	taskUnplaced taskState = iota
 	// taskPlaced tasks have a run at an owner.
 	taskPlaced
-	// taskLost tasks have a run of which no owner reports; it is over at lostUntil.
+	// taskLost tasks have a run that no owner reports; it has certainly ended at expiresAt.
 	taskLost
 	taskDone
 )
@@ -26,41 +26,41 @@
 	index int
 	run   uint64
 	owner string
-	// started says that the owner has reported a start of the present run.
+	// started is set once the owner has reported that the current run has started.
 	started   bool
 	withdrawn bool
-	// recalled is when the run was last recalled from the queue of its owner.
-	recalled time.Time
-	worker   string
-	// token is the fencing token under which the run was started, as far as it is known.
+	// recalledAt is when the run was last recalled from the queue of its owner.
+	recalledAt time.Time
+	worker     string
+	// token is the fencing token under which the run was started; zero while it is unknown.
 	token    uint64
 	failures int
 	placedAt time.Time
-	// wantedAt is when the home has last told the owner that it wants the run.
-	wantedAt  time.Time
-	lostUntil time.Time
-	retryAt   time.Time
-	// unknown counts the orders in a row of which their owners know nothing.
-	unknown int
-	// unable lists the owners none of whose workers can hold the task.
-	unable []string
+	// refreshedAt is when the home last confirmed the run to its owner.
+	refreshedAt time.Time
+	expiresAt   time.Time
+	retryAt     time.Time
+	// unknownOrders counts the consecutive orders that their owners reported as unknown.
+	unknownOrders int
+	// infeasibleOwners lists the owners none of whose workers can hold the task.
+	infeasibleOwners []string
 }
 
-// jobState is the state that callers see.
+// jobState is the state of a job at its home.
 type jobState uint8
 
 const (
 	jobActive jobState = iota
-	// jobEnding jobs have their outcome, and runs that are still to be stopped.
+	// jobEnding jobs have an outcome, and runs that still have to be stopped.
 	jobEnding
 	jobEnded
 )
 
 // step is the progress of one step of a job.
 type step struct {
-	// expected is the expected run time of one of its tasks, left the number of its tasks that are not done.
-	expected time.Duration
-	left     int
+	// expected is the expected run time of one of its tasks, remaining the number of its tasks that are not done.
+	expected  time.Duration
+	remaining int
 }
 
 // job is a batch with its tasks. The lock of its shard guards it.
@@ -68,29 +68,29 @@
 	batch contract.Batch
 	// steps is the progress of each step of the batch.
 	steps []step
-	// expected is the expected run time of the whole job on workers that are free.
+	// expected is the expected run time of the whole job on idle workers.
 	expected time.Duration
 	target   time.Time
 	tasks    []task
 	done     int
 	state    jobState
-	// ran is set once a run of any task may have started.
-	ran     bool
-	outcome Outcome
-	answer  Answer
-	ended   time.Time
-	waiters []chan Answer
+	// mayHaveRun is set once a run of any task may have started.
+	mayHaveRun bool
+	outcome    Outcome
+	answer     Answer
+	endedAt    time.Time
+	waiters    []chan Answer
 }
 
-// key returns the key of a task's present run.
+// key returns the key of a task's current run.
 func (j *job) key(t *task) contract.RunKey {
 	return contract.RunKey{Batch: j.batch.ID, Step: t.step, Index: t.index, Run: t.run}
 }
 
-// place returns the pool at which a task's present run is.
-func (j *job) place(t *task) Place { return Place{Owner: t.owner, Backend: j.batch.Backend} }
+// poolRef returns the pool that holds a task's current run.
+func (j *job) poolRef(t *task) PoolRef { return PoolRef{Owner: t.owner, Backend: j.batch.Backend} }
 
-// order returns the order for a task's present run.
+// order returns the order for a task's current run.
 func (j *job) order(t *task) contract.TaskOrder {
 	step := &j.batch.Steps[t.step]
 	expected := j.steps[t.step].expected
@@ -101,7 +101,7 @@
 	}
 }
 
-// find returns the task that a key names, if its run is the present one.
+// find returns the task that a key names, if the key is that of its current run.
 func (j *job) find(k contract.RunKey) *task {
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -112,21 +112,21 @@
 	return nil
 }
 
-func (j *job) prospects() prospects {
-	return prospects{accepted: j.batch.Accepted, target: j.target, deadline: j.batch.Deadline, expected: j.expected}
+func (j *job) forecast() forecast {
+	return forecast{accepted: j.batch.Accepted, target: j.target, deadline: j.batch.Deadline, expected: j.expected}
 }
 
-// due reports whether all steps that a step depends on are done.
-func (j *job) due(step int) bool {
+// stepReady reports whether all steps that a step depends on are done.
+func (j *job) stepReady(step int) bool {
 	for _, d := range j.batch.Steps[step].DependsOn {
-		if j.steps[d].left > 0 {
+		if j.steps[d].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// queued reports whether no task has started.
+// queued reports whether no task of the job has started.
 func (j *job) queued() bool {
 	for i := range j.tasks {
 		if j.tasks[i].started || j.tasks[i].state == taskDone {
@@ -136,8 +136,8 @@
 	return true
 }
 
-// settled reports whether no run of any task can be alive.
-func (j *job) settled() bool {
+// noLiveRuns reports whether no run of any task can be alive.
+func (j *job) noLiveRuns() bool {
 	for i := range j.tasks {
 		if s := j.tasks[i].state; s == taskPlaced || s == taskLost {
 			return false
@@ -154,9 +154,9 @@
 	Completed Outcome = iota
 	Failed
 	Cancelled
-	// Refused jobs have not run and never run.
+	// Refused jobs have not run and will never run.
 	Refused
-	// Abandoned jobs could not be ended in time; some of their tasks may have run.
+	// Abandoned jobs were not completed before their deadline or the end of the process; some tasks may have run.
 	Abandoned
 )
 
@@ -169,15 +169,15 @@
 	return "invalid"
 }
 
-// Answer is what the caller of a job gets.
+// Answer is the result of a job as its caller gets it.
 type Answer struct {
 	Outcome Outcome
 	Reason  string
-	// RetryAfter is when a refused job may be sent again.
+	// RetryAfter is how long to wait before a refused job is submitted again.
 	RetryAfter time.Duration
 }
 
-// State is the state of a job that a caller asks for.
+// State is the state of a job as reported to callers.
 type State uint8
 
 // States.
--- a/batch/kinds.go
+++ b/batch/kinds.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// runWeight is the weight of one run in what is learned of its kind, once minSamples runs have been seen.
+	// runWeight is the weight of one run in the model of its kind, once minSamples runs have been recorded.
 	runWeight  = 0.01
 	minSamples = 20
-	// priorShare and priorSlope predict a run time from a declared estimate until runs have been seen: declared times are
-	// mostly too long, and a job declared twice as long takes about 1.4 times as long.
+	// priorShare and priorSlope predict a run time from a declared estimate until runs have been recorded: declared times
+	// are mostly too long, and a job declared twice as long takes about 1.4 times as long.
 	priorShare = 0.8
 	priorSlope = 0.5
 	maxSlope   = 1.0
-	// priorWeight is the number of runs that the prior slope counts for.
+	// priorWeight is the number of runs that the prior slope is worth.
 	priorWeight = 20
 	// defaultRun is the expected run time of a task without an estimate.
 	defaultRun = 200 * time.Millisecond
-	// spread is how much longer the longest of several tasks takes than their mean, per doubling of their number.
+	// spread is how much longer the longest of several tasks takes than their mean, relative to the mean, per doubling of
+	// their number.
 	spread = 0.13
 )
 
-// kind is what has been learned of the run times of a route: a regression of the logarithm of run times on that of
-// declared estimates. Declared times are off by large factors, but jobs that declare more take longer.
+// kind models the run times of a route: a regression of the logarithm of run times on the logarithm of declared
+// estimates. Declared times are off by large factors, but jobs that declare more take longer.
 type kind struct {
 	samples    float64
 	meanX      float64
@@ -54,7 +55,7 @@
 	return k.meanY + min(max(slope, 0), maxSlope)*(x-k.meanX)
 }
 
-// kinds learns the run times of the tasks of each route from their ends. mu guards the map and the kinds in it.
+// kinds learns the run times of the tasks of each route from completed runs. mu guards the map and the kinds in it.
 type kinds struct {
 	mu     sync.Mutex
 	routes map[string]*kind
--- a/batch/kinds_test.go
+++ b/batch/kinds_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against run times that are taken from the mean of a route although the declared estimates tell long jobs from
-// short ones, and against estimates that are taken at their word.
+// Guards against predictions from the mean of a route although declared estimates distinguish long jobs from short
+// ones, and against predictions that adopt the declared estimates unchanged.
 func TestExpectedRunTimeFollowsTheEstimate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	k := newKinds()
@@ -25,7 +25,7 @@
 	require.InDelta(t, 310, long.Milliseconds(), 70)
 }
 
-// Guards against a kind without samples, or with equal estimates, that yields no usable expectation.
+// Guards against unusable predictions for a kind without samples, or with equal estimates only.
 func TestExpectedRunTimeWithoutSpread(t *testing.T) {
 	k := newKinds()
 	require.Equal(t, defaultRun, k.expected("r", 0))
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -6,17 +6,17 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// outbox collects the messages of a decision, which are sent after the locks are released.
+// outbox collects the messages that result from a decision; they are sent after the locks are released.
 type outbox struct {
 	orders      []ownerOrder
-	refreshes   map[Place][]contract.RunKey
-	withdrawals map[Place][]contract.RunKey
-	recalls     map[Place][]contract.RunKey
-	acks        map[Place][]contract.RunKey
+	refreshes   map[PoolRef][]contract.RunKey
+	withdrawals map[PoolRef][]contract.RunKey
+	recalls     map[PoolRef][]contract.RunKey
+	acks        map[PoolRef][]contract.RunKey
 }
 
-// Place is a pool: the workers of a back end that an owner has.
-type Place struct {
+// PoolRef names a pool: the workers of a back end that an owner has.
+type PoolRef struct {
 	Owner   string
 	Backend string
 }
@@ -32,14 +32,14 @@
 	o.orders = append(o.orders, ownerOrder{owner, t})
 }
 
-func (o *outbox) withdraw(p Place, k contract.RunKey) { add(&o.withdrawals, p, k) }
+func (o *outbox) withdraw(p PoolRef, k contract.RunKey) { add(&o.withdrawals, p, k) }
 
-func (o *outbox) recall(p Place, k contract.RunKey) { add(&o.recalls, p, k) }
+func (o *outbox) recall(p PoolRef, k contract.RunKey) { add(&o.recalls, p, k) }
 
-func (o *outbox) acknowledge(p Place, k contract.RunKey) { add(&o.acks, p, k) }
+func (o *outbox) acknowledge(p PoolRef, k contract.RunKey) { add(&o.acks, p, k) }
 
-// refresh adds the runs of a job that may be alive. Runs that are to be withdrawn are withdrawn again, in case the first
-// message was lost.
+// refresh adds the runs of a job that may be alive. Withdrawn runs are withdrawn again, in case the first message was
+// lost.
 func (o *outbox) refresh(j *job, now time.Time) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -47,17 +47,17 @@
 			continue
 		}
 		if t.withdrawn {
-			o.withdraw(j.place(t), j.key(t))
+			o.withdraw(j.poolRef(t), j.key(t))
 			continue
 		}
-		t.wantedAt = now
-		add(&o.refreshes, j.place(t), j.key(t))
+		t.refreshedAt = now
+		add(&o.refreshes, j.poolRef(t), j.key(t))
 	}
 }
 
-func add(m *map[Place][]contract.RunKey, p Place, k contract.RunKey) {
+func add(m *map[PoolRef][]contract.RunKey, p PoolRef, k contract.RunKey) {
 	if *m == nil {
-		*m = make(map[Place][]contract.RunKey)
+		*m = make(map[PoolRef][]contract.RunKey)
 	}
 	(*m)[p] = append((*m)[p], k)
 }
--- a/batch/refusal.go
+++ b/batch/refusal.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// refusalMargin is the least time limit left after the expected end of an accepted job.
+	// refusalMargin is the shortest time from the expected end of an accepted job to its deadline.
 	refusalMargin = 20 * time.Millisecond
-	// refuseAfter is the share of its time limit after which a job is refused that has not started and whose answer would
-	// come when it is worth little. Its caller has the rest of its time to go elsewhere.
-	refuseAfter = 0.35
-	// worthlessAfter is the multiple of the latency target after which an answer is worth little.
-	worthlessAfter = 3
+	// refuseShare is the share of the time limit after which a job is refused that has not started and whose answer would
+	// come when it is worth little. Its caller can use the remaining time to submit it elsewhere.
+	refuseShare = 0.35
+	// veryLateFactor is the multiple of the latency target after which an answer is worth little.
+	veryLateFactor = 3
 )
 
-// prospects is what is known of a job that waits for workers, at a time.
-type prospects struct {
+// forecast holds the times that decide whether a waiting job is refused.
+type forecast struct {
 	accepted time.Time
 	target   time.Time
 	deadline time.Time
 	expected time.Duration
 }
 
-// endsInTime reports whether a job that starts after a wait can end inside its time limit.
-func (p prospects) endsInTime(now time.Time, wait time.Duration) bool {
+// meetsDeadline reports whether a job that starts after a given wait can end before its deadline.
+func (p forecast) meetsDeadline(now time.Time, wait time.Duration) bool {
 	return !now.Add(wait + p.expected + refusalMargin).After(p.deadline)
 }
 
-// hopeless reports whether a job that has not started is to be refused. It answers loads that exceed the room of all
-// workers for longer than jobs can wait: a job that waits behind others until its time limit is told too late.
-func (p prospects) hopeless(now time.Time) bool {
+// shouldRefuse reports whether a job that has not started should be refused. It limits the harm of demand that exceeds
+// the capacity of all workers for longer than jobs can wait: a job that queues until its deadline is refused too late
+// to be submitted elsewhere.
+func (p forecast) shouldRefuse(now time.Time) bool {
 	end := now.Add(p.expected)
 	if end.After(p.deadline) {
 		return true
 	}
 	waited := now.Sub(p.accepted)
 	limit := p.deadline.Sub(p.accepted)
-	worthless := p.accepted.Add(worthlessAfter * p.target.Sub(p.accepted))
-	return float64(waited) > refuseAfter*float64(limit) && end.After(worthless)
+	veryLate := p.accepted.Add(veryLateFactor * p.target.Sub(p.accepted))
+	return float64(waited) > refuseShare*float64(limit) && end.After(veryLate)
 }
--- a/batch/refusal_test.go
+++ b/batch/refusal_test.go
@@ -7,31 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-func testProspects() prospects {
+func testForecast() forecast {
 	start := time.Unix(1000, 0)
-	return prospects{
+	return forecast{
 		accepted: start, target: start.Add(300 * time.Millisecond), deadline: start.Add(2 * time.Second),
 		expected: 150 * time.Millisecond,
 	}
 }
 
-// Guards against jobs that are refused while an answer would still be worth having, and against jobs that are held until
-// their time limit although they cannot be served.
-func TestHopelessJobs(t *testing.T) {
-	p := testProspects()
+// Guards against refusing jobs whose answer would still be useful, and against holding jobs until their deadline
+// although they cannot be served.
+func TestShouldRefuse(t *testing.T) {
+	p := testForecast()
 	at := func(ms int) time.Time { return p.accepted.Add(time.Duration(ms) * time.Millisecond) }
-	require.False(t, p.hopeless(at(0)))
-	require.False(t, p.hopeless(at(400)), "late, but worth having")
-	require.False(t, p.hopeless(at(740)), "ends before three times the target")
-	require.True(t, p.hopeless(at(760)), "ends after three times the target, 38% of the time limit are over")
-	require.True(t, p.hopeless(at(1900)), "cannot end inside the time limit")
+	require.False(t, p.shouldRefuse(at(0)))
+	require.False(t, p.shouldRefuse(at(400)), "late, but still useful")
+	require.False(t, p.shouldRefuse(at(740)), "ends before three times the target")
+	require.True(t, p.shouldRefuse(at(760)), "ends after three times the target, with 38% of the time limit used")
+	require.True(t, p.shouldRefuse(at(1900)), "cannot end before the deadline")
 	p.deadline = at(5000)
-	require.False(t, p.hopeless(at(1000)), "most of the time limit is left")
+	require.False(t, p.shouldRefuse(at(1000)), "most of the time limit is left")
 }
 
-// Guards against jobs that are accepted although the expected wait is longer than their time limit.
-func TestEndsInTime(t *testing.T) {
-	p := testProspects()
-	require.True(t, p.endsInTime(p.accepted, time.Second))
-	require.False(t, p.endsInTime(p.accepted, 1900*time.Millisecond))
+// Guards against accepting jobs whose expected wait exceeds their time limit.
+func TestMeetsDeadline(t *testing.T) {
+	p := testForecast()
+	require.True(t, p.meetsDeadline(p.accepted, time.Second))
+	require.False(t, p.meetsDeadline(p.accepted, 1900*time.Millisecond))
 }
--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -121,7 +121,7 @@
 	}
 	d.members = newMembers(o.Self, d.dialPeer, o.Logger)
 	d.home = batch.New(batch.Options{
-		Owners: owners{d}, Rooms: d.rooms, Fits: d.workers.fits, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics,
+		Owners: owners{d}, Capacity: d.rooms, Fits: d.workers.fits, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics,
 	})
 	d.feed = newWorkerFeed(d.self, d.members, o.Now, o.Logger)
 	server, err := link.ServePeers(o.Peers, d.handle, func() uint64 { return d.stamp(o.Now()) })
@@ -218,7 +218,7 @@
 	for _, p := range d.allPools() {
 		p.HomeUnreachable(gone.id)
 	}
-	d.home.OwnerGone(gone.id, gone.heard)
+	d.home.OwnerUnreachable(gone.id, gone.heard)
 	d.divide()
 }
 
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -28,7 +28,7 @@
 }
 
 // Refresh implements batch.Owners.
-func (s owners) Refresh(p batch.Place, keys []contract.RunKey) {
+func (s owners) Refresh(p batch.PoolRef, keys []contract.RunKey) {
 	if p.Owner == s.d.self {
 		s.d.pool(p.Backend).Refresh(s.d.self, keys, s.d.o.Now())
 		return
@@ -39,7 +39,7 @@
 }
 
 // Withdraw implements batch.Owners.
-func (s owners) Withdraw(p batch.Place, keys []contract.RunKey) {
+func (s owners) Withdraw(p batch.PoolRef, keys []contract.RunKey) {
 	if p.Owner == s.d.self {
 		s.d.pool(p.Backend).Withdraw(s.d.self, keys)
 		return
@@ -50,7 +50,7 @@
 }
 
 // Recall implements batch.Owners.
-func (s owners) Recall(p batch.Place, keys []contract.RunKey) {
+func (s owners) Recall(p batch.PoolRef, keys []contract.RunKey) {
 	if p.Owner == s.d.self {
 		s.d.pool(p.Backend).Recall(s.d.self, keys)
 		return
@@ -61,7 +61,7 @@
 }
 
 // Acknowledge implements batch.Owners.
-func (s owners) Acknowledge(p batch.Place, keys []contract.RunKey) {
+func (s owners) Acknowledge(p batch.PoolRef, keys []contract.RunKey) {
 	if p.Owner == s.d.self {
 		s.d.pool(p.Backend).Acknowledge(keys)
 		return
@@ -74,7 +74,7 @@
 // report sends a pool's word on a run to its home.
 func (d *Daemon) report(home, backend string, r contract.RunReport) {
 	if home == d.self {
-		d.home.Report(batch.Place{Owner: d.self, Backend: backend}, r)
+		d.home.Report(batch.PoolRef{Owner: d.self, Backend: backend}, r)
 		return
 	}
 	d.members.Send(home, &api.PeerMessage{Body: &api.PeerMessage_TaskReport{TaskReport: &api.TaskReport{
@@ -207,7 +207,7 @@
 		d.pool(b.TaskAck.GetBackend()).Acknowledge(decodeKeys(b.TaskAck.GetKeys()))
 	case *api.PeerMessage_TaskReport:
 		r := b.TaskReport
-		d.home.Report(batch.Place{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
+		d.home.Report(batch.PoolRef{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
 			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(), Ran: r.GetRan(),
 			Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
 		})
