--- a/batch/advance.go
+++ b/batch/advance.go
@@ -21,8 +21,8 @@
 	unknownProofWindow = 5 * time.Second
 )
 
-// advance places tasks that are ready, moves tasks from full queues, and answers a job that has ended. The lock of the
-// job's shard is held.
+// advance places tasks that are ready, moves queued tasks to owners with free capacity, and answers a job that has
+// ended. The lock of the job's shard is held.
 func (h *Home) advance(j *job, now time.Time, out *outbox) {
 	if j.state == jobActive {
 		h.checkDeadline(j, now, out)
--- a/edge/members.go
+++ b/edge/members.go
@@ -62,7 +62,7 @@
 	} else {
 		m.byVM[info.VM] = &member{info: info, id: info.ID(), peer: m.dial(info.VM, info.Address), ownsNothing: true}
 	}
-	m.logger.Info("member learned", "member", info.ID(), "address", info.Address, "domain", info.Domain,
+	m.logger.Info("member discovered", "member", info.ID(), "address", info.Address, "domain", info.Domain,
 		"direct", direct, "replaces", replaced.id)
 	return replaced
 }
