--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -11,21 +11,20 @@
 )
 
 const (
-	// DefaultMaxWaiting bounds the waiting tasks of an entry VM. At 2,300 starts/s they are the work of 17 s, longer
-	// than any usual deadline.
+	// DefaultMaxWaiting bounds the waiting tasks of an entry VM. At 2,300 starts/s they are 17 s of work, longer than
+	// any usual deadline.
 	DefaultMaxWaiting = 40_000
-	// DefaultMaxWaitingBytes bounds the payloads of the waiting tasks.
+	// DefaultMaxWaitingBytes bounds the total payload size of the waiting tasks.
 	DefaultMaxWaitingBytes = 256 << 20
-	// lateShare is the share of jobs whose longest task may exceed the bound that admission assumes.
-	lateShare = 0.1
-	// longCap is the share of the slots that long work may hold, and longFloor what it gets of them while short work
-	// waits.
+	// tailShare is the share of jobs whose longest task may exceed the run time that admission assumes for it.
+	tailShare = 0.1
+	// longCap is the maximum share of the slots that long work may hold; longFloor is its share while short work waits.
 	longCap   = 0.4
 	longFloor = 0.1
 )
 
-// admission decides on a job with its items. It returns an error that proves that nothing ran.
-func (d *Dispatcher) admission(l *Lane, spec *contract.JobSpec, items []customer.Item, now time.Time) error {
+// admission decides whether to accept a job with its items. Its errors prove that no task of the job was started.
+func (d *Dispatcher) admission(sched *Lane, spec *contract.JobSpec, items []customer.Item, now time.Time) error {
 	if err := d.checkKinds(items, spec.Service, now); err != nil {
 		return err
 	}
@@ -46,7 +45,7 @@
 		}
 		c := backend.Class(class)
 		key := customer.TeamKey{Customer: spec.Customer, Team: spec.Team}
-		v := customer.Admit(l.queue.Backlog(key, c), load, classSlots(slots, c, l.queue.Depth()), now)
+		v := customer.Admit(sched.queue.Backlog(key, c), load, classSlots(slots, c, sched.queue.Depth()), now)
 		if !v.Admit {
 			return overloaded(v, spec.Deadline.Sub(now))
 		}
@@ -59,7 +58,7 @@
 		v.Wait.Round(time.Millisecond), allowed.Round(time.Millisecond))
 }
 
-// checkKinds refuses kinds that fail wherever they run, but for a trial now and then.
+// checkKinds refuses request kinds that fail on every worker, except for an occasional trial job.
 func (d *Dispatcher) checkKinds(items []customer.Item, service string, now time.Time) error {
 	var last *backend.RequestKind
 	for i := range items {
@@ -75,15 +74,15 @@
 	return nil
 }
 
-// checkBounds keeps the waiting tasks and their payloads within the memory of the VM. Submissions at the same time
-// may exceed the bounds by a job each.
+// checkBounds limits the number of waiting tasks and the size of their payloads, to bound the memory of the VM.
+// Concurrent submissions may exceed the limits by one job each.
 func (d *Dispatcher) checkBounds(items []customer.Item) error {
 	tasks, bytes := len(items), 0
 	for i := range items {
 		bytes += items[i].Bytes
 	}
-	for _, l := range d.Lanes() {
-		depth := l.queue.Depth()
+	for _, sched := range d.Lanes() {
+		depth := sched.queue.Depth()
 		tasks += depth.Waiting
 		bytes += depth.Bytes
 	}
@@ -110,7 +109,7 @@
 		l := &loads[it.Class]
 		if it.Kind != last {
 			last = it.Kind
-			l.Longest = max(l.Longest, last.Tail(lateShare/float64(len(items))))
+			l.Longest = max(l.Longest, last.Tail(tailShare/float64(len(items))))
 		}
 		l.Deadline = deadline
 		l.Work += it.Expected
@@ -122,7 +121,7 @@
 	return loads
 }
 
-// classSlots returns the slots that serve a class.
+// classSlots returns the number of slots that admission assumes for a class.
 func classSlots(slots float64, c backend.Class, depth customer.Depth) float64 {
 	if c == backend.ClassShort {
 		return slots
@@ -133,8 +132,8 @@
 	return slots * longCap
 }
 
-// ShareOfCapacity returns the slots that an entry VM can count on: its part of the failure domain's slots, or what it
-// holds and what is free, if that is more.
+// ShareOfCapacity returns the number of slots that an entry VM can rely on: its equal share of the failure domain's
+// slots, or the slots that it holds plus the free ones if these are more.
 func ShareOfCapacity(total float64, members int, heldAndFree float64) float64 {
 	return math.Max(total/math.Max(1, float64(members)), math.Min(total, heldAndFree))
 }
--- a/dispatch/backlog.go
+++ b/dispatch/backlog.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// backlog tells how long the oldest waiting task of a class has waited. Tasks leave it in the order of their arrival,
-// whatever the order of the queue: what entry VMs compare is how far they are behind, and a task that the queue puts
-// back for others must not make all of its entry VM's work look old.
+// backlog reports how long the oldest waiting task of a class has waited. Tasks leave it in order of arrival,
+// regardless of the order of the queue: entry VMs compare how far they are behind, and a task that the queue defers in
+// favour of others must not make all work of its entry VM look old.
 type backlog struct {
 	arrivals []arrival
 	head     int
 	length   int
 }
 
-// arrival is a number of tasks that were queued at the same time.
+// arrival is a group of tasks that were queued at the same time.
 type arrival struct {
 	at    time.Time
 	tasks int
@@ -29,7 +29,7 @@
 	b.arrivals = append(b.arrivals, arrival{at: at, tasks: n})
 }
 
-// trim removes the oldest tasks until n are left. Tasks that were queued without push count as queued now.
+// trim removes the oldest tasks until n are left. Tasks that were queued without a call of push count as queued at now.
 func (b *backlog) trim(n int, now time.Time) {
 	b.push(n-b.length, now)
 	for b.length > n {
@@ -44,7 +44,7 @@
 	b.compact()
 }
 
-// compact reclaims the space of tasks that have left.
+// compact reclaims the space of removed tasks.
 func (b *backlog) compact() {
 	if b.head < len(b.arrivals) && b.head < 1024 {
 		return
@@ -53,7 +53,7 @@
 	b.head = 0
 }
 
-// wait returns the wait of the oldest task, at least a nanosecond, and zero without any.
+// wait returns how long the oldest task has waited, at least one nanosecond, or zero if there is none.
 func (b *backlog) wait(now time.Time) time.Duration {
 	if b.length == 0 {
 		return 0
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -31,31 +31,31 @@
 	benchWorkers = 187
 	benchSlots   = 8
 	benchTasks   = 50
-	benchJobs    = 16 // jobs under way at the same time
+	benchJobs    = 16 // concurrent jobs
 )
 
-// ownBroker grants the slots of all workers to this VM.
-type ownBroker struct {
-	granter    *zone.Granter
+// localBroker grants the slots of all workers to this entry VM.
+type localBroker struct {
+	allocator  *zone.Granter
 	dispatcher *dispatch.Dispatcher
 }
 
-func (b *ownBroker) Granter(machine.WorkerID) string { return benchSelf }
-func (b *ownBroker) Scarce(string) bool              { return false }
+func (b *localBroker) Granter(machine.WorkerID) string { return benchSelf }
+func (b *localBroker) Scarce(string) bool              { return false }
 
-func (b *ownBroker) Demand(d contract.SlotDemand) {
-	b.deliver(b.granter.Demand(benchSelf, zone.Need{Tasks: zone.Count{Short: d.Short, Long: d.Long}}, time.Now()))
+func (b *localBroker) Demand(d contract.SlotDemand) {
+	b.deliver(b.allocator.Demand(benchSelf, zone.Need{Tasks: zone.Count{Short: d.Short, Long: d.Long}}, time.Now()))
 }
 
-func (b *ownBroker) Return(returns []contract.SlotReturn) {
+func (b *localBroker) Return(returns []contract.SlotReturn) {
 	held := make([]zone.Held, len(returns))
 	for i, r := range returns {
 		held[i] = zone.Held{Worker: r.Worker, Slots: zone.Count{Short: r.Short, Long: r.Long}}
 	}
-	b.deliver(b.granter.Return(benchSelf, held, time.Now()))
+	b.deliver(b.allocator.Return(benchSelf, held, time.Now()))
 }
 
-func (b *ownBroker) deliver(allocations []zone.Allocation) {
+func (b *localBroker) deliver(allocations []zone.Allocation) {
 	if len(allocations) == 0 {
 		return
 	}
@@ -69,14 +69,14 @@
 	b.dispatcher.Grant(benchService, grants)
 }
 
-// promptStarter answers every start at once.
-type promptStarter struct{}
+// immediateStarter replies to every start immediately.
+type immediateStarter struct{}
 
-func (promptStarter) Start(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
+func (immediateStarter) Start(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
 	return dispatch.StartReply{Outcome: contract.OutcomeDone, RunTime: time.Millisecond}, nil
 }
 
-func (promptStarter) Resolve(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
+func (immediateStarter) Resolve(context.Context, dispatch.StartRequest) (dispatch.StartReply, error) {
 	return dispatch.StartReply{}, nil
 }
 
@@ -85,10 +85,10 @@
 	dispatcher *dispatch.Dispatcher
 }
 
-// newBench builds a home with the given workers; slots is zero for a home that cannot start anything.
+// newBench builds a home node with the given workers. With zero slots the node cannot start any task.
 func newBench(b *testing.B, fleet *machine.Fleet, home machine.Incarnation, starter dispatch.Starter, slots int) *bench {
 	table := contract.NewJobTable(1, home)
-	broker := &ownBroker{granter: zone.NewGranter(benchSelf, 1)}
+	broker := &localBroker{allocator: zone.NewGranter(benchSelf, 1)}
 	d := dispatch.New(dispatch.Options{
 		Table: table, Starter: starter, Broker: broker, Self: benchSelf, Fleet: fleet, Now: time.Now,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
@@ -102,7 +102,7 @@
 	for _, w := range fleet.All() {
 		offers = append(offers, zone.Offer{Worker: w.Spec().ID, Slots: slots, Speed: w.Speed()})
 	}
-	broker.granter.Assign(offers, nil, nil, time.Now())
+	broker.allocator.Assign(offers, nil, nil, time.Now())
 	b.Cleanup(d.Close)
 	return &bench{table: table, dispatcher: d}
 }
@@ -119,7 +119,7 @@
 	return id
 }
 
-// run starts b.N tasks in jobs and waits for the answers.
+// run submits jobs with b.N tasks in all and waits for the answers.
 func (x *bench) run(b *testing.B) {
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -162,13 +162,13 @@
 	return fleet
 }
 
-// BenchmarkStart measures the daemon's part of the start path. The target is 20,000 starts/s on one core: run it with
+// BenchmarkStart measures the start path within the daemon. The target is 20,000 starts/s on one core: run it with
 // -cpu 1.
 func BenchmarkStart(b *testing.B) {
-	newBench(b, benchFleet(), 1, promptStarter{}, benchSlots).run(b)
+	newBench(b, benchFleet(), 1, immediateStarter{}, benchSlots).run(b)
 }
 
-// BenchmarkStartHTTP measures starts over HTTP against stand-in workers in the same process, whose part is included.
+// BenchmarkStartHTTP measures starts over HTTP. The figures include the stand-in workers, which run in the same process.
 func BenchmarkStartHTTP(b *testing.B) {
 	fleet := machine.NewFleet()
 	home := machine.NewIncarnation()
@@ -177,7 +177,7 @@
 	require.NoError(b, err)
 	var served []*standin.Worker
 	b.Cleanup(func() {
-		// Servers wait for open connections, hence together.
+		// Each server waits until its open connections are closed, so they are closed concurrently.
 		var wg sync.WaitGroup
 		for _, w := range served {
 			wg.Go(func() { _ = w.Close() })
@@ -200,9 +200,9 @@
 	newBench(b, fleet, home, workers, benchSlots).run(b)
 }
 
-// BenchmarkAcceptedMemory reports the memory of an accepted task that waits.
+// BenchmarkAcceptedMemory reports the memory per accepted, waiting task.
 func BenchmarkAcceptedMemory(b *testing.B) {
-	x := newBench(b, benchFleet(), 1, promptStarter{}, 0)
+	x := newBench(b, benchFleet(), 1, immediateStarter{}, 0)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -2,11 +2,11 @@
 
 import "github.com/cicadadale/cicadadale/backend"
 
-// Configure makes a service available or changes the declarations of one that is. Waiting tasks and learned run times
-// stay.
+// Configure adds a service or replaces the request kinds of an existing one. Waiting tasks and observed run times are
+// kept.
 func (d *Dispatcher) Configure(name string, kinds []backend.KindSpec) {
-	if l, ok := d.lane(name); ok {
-		l.Service().Redeclare(kinds)
+	if sched, ok := d.scheduler(name); ok {
+		sched.Service().Redeclare(kinds)
 		return
 	}
 	d.AddService(backend.NewService(name, kinds))
--- a/dispatch/customers.go
+++ b/dispatch/customers.go
@@ -7,8 +7,8 @@
 	"github.com/cicadadale/cicadadale/customer"
 )
 
-// ApplyCustomers puts weights and quotas into effect. Settings with faults change nothing, and an older revision
-// than the one in effect is ignored.
+// ApplyCustomers applies weights and quotas. Invalid settings are rejected as a whole, and a revision older than the
+// one in effect is ignored.
 func (d *Dispatcher) ApplyCustomers(s customer.Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -16,9 +16,9 @@
 	if !d.teams.Apply(s) {
 		return nil
 	}
-	for _, l := range d.Lanes() {
-		l.queue.ApplyWeights()
-		d.carryOut(l, l.Match(d.o.Now()))
+	for _, sched := range d.Lanes() {
+		sched.queue.ApplyWeights()
+		d.execute(sched, sched.Match(d.o.Now()))
 	}
 	return nil
 }
@@ -26,7 +26,7 @@
 // Teams returns the limits of the teams on this entry VM.
 func (d *Dispatcher) Teams() *customer.Teams { return d.teams }
 
-// SetQuotaShare sets this VM's part of a team's quota.
+// SetQuotaShare sets this VM's share of a team's quota.
 func (d *Dispatcher) SetQuotaShare(k customer.TeamKey, share int) {
 	if d.teams.SetShare(k, share) {
 		d.wakeTeam(k)
@@ -39,22 +39,22 @@
 	if err != nil {
 		return p, err
 	}
-	for _, l := range d.Lanes() {
-		l.queue.Reconfigure(id, deadline, priority)
+	for _, sched := range d.Lanes() {
+		sched.queue.Reconfigure(id, deadline, priority)
 	}
 	return p, nil
 }
 
-// dequeue takes the waiting tasks of a job out of the queues and states the smaller demand.
+// dequeue removes the waiting tasks of a job from the queues and reports the reduced demand.
 func (d *Dispatcher) dequeue(id contract.JobID) {
-	for _, l := range d.Lanes() {
-		if l.queue.Cancel(id) > 0 {
-			d.carryOut(l, l.Match(d.o.Now()))
+	for _, sched := range d.Lanes() {
+		if sched.queue.Cancel(id) > 0 {
+			d.execute(sched, sched.Match(d.o.Now()))
 		}
 	}
 }
 
-// wake offers released quota to the waiting tasks of the team that a task belongs to.
+// wake offers quota that a task has released to the waiting tasks of its team.
 func (d *Dispatcher) wake(it customer.Item, released bool) {
 	if released {
 		d.wakeTeam(customer.TeamKey{Customer: it.Customer, Team: it.Team})
@@ -62,18 +62,18 @@
 }
 
 func (d *Dispatcher) wakeTeam(k customer.TeamKey) {
-	for _, l := range d.Lanes() {
-		if l.queue.Wake(k) {
-			d.carryOut(l, l.Match(d.o.Now()))
+	for _, sched := range d.Lanes() {
+		if sched.queue.Wake(k) {
+			d.execute(sched, sched.Match(d.o.Now()))
 		}
 	}
 }
 
-// TeamDemand counts the tasks of a team that run or wait here.
+// TeamDemand returns the number of a team's tasks that run or wait on this entry VM.
 func (d *Dispatcher) TeamDemand(k customer.TeamKey) int {
 	n := d.teams.Running(k)
-	for _, l := range d.Lanes() {
-		n += l.queue.WaitingOf(k)
+	for _, sched := range d.Lanes() {
+		n += sched.queue.WaitingOf(k)
 	}
 	return n
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -17,14 +17,15 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Options are the parts that a dispatcher works with.
+// Options are the dependencies and limits of a dispatcher.
 type Options struct {
 	Table   *contract.JobTable
 	Starter Starter
 	Broker  SlotBroker
 	// Self is the entry VM that the dispatcher runs on.
 	Self string
-	// MayStart reports whether no other entry VM can have answered this home's jobs as lost; nil means always.
+	// MayStart reports whether this home node may start tasks, that is, whether no other entry VM can have answered
+	// its jobs as lost; nil means always.
 	MayStart func() bool
 	// Placement chooses workers without grants; nil selects the default policy.
 	Placement *Placement
@@ -32,27 +33,27 @@
 	Now       func() time.Time
 	Logger    *slog.Logger
 	Metrics   metrics.Registry
-	// Control acts on running tasks; nil leaves them alone.
+	// Control renews the leases of running tasks and acts on stragglers; nil disables both.
 	Control TaskControl
-	// Capacity returns the slots that serve a service's queue on this entry VM, each counted with its worker's speed,
-	// and the number of workers of the service. Without it no job is refused for its expected wait.
+	// Capacity returns the slots that serve a service's queue on this entry VM, each weighted by its worker's speed,
+	// and the number of workers of the service. If it is nil, no job is refused for its expected wait.
 	Capacity func(service string) (slots float64, workers int)
 	// HealthChanged is called with the new state when the health of a worker has changed; it may be nil.
 	HealthChanged func(machine.WorkerID, machine.HealthState)
-	// SlotOutgrown is called when a slot counts as held by long work from now on; it may be nil.
+	// SlotOutgrown is called when a slot is reclassified as held by long work; it may be nil.
 	SlotOutgrown func(service string, worker machine.WorkerID)
-	// MaxWaiting and MaxWaitingBytes bound the waiting tasks and their payloads; zero takes the defaults.
+	// MaxWaiting and MaxWaitingBytes bound the waiting tasks and their payloads; zero selects the defaults.
 	MaxWaiting      int
 	MaxWaitingBytes int
 	// Timeline may be nil.
 	Timeline *timeline.Ring
-	// DistributedQuotas says that the shares of the team quotas come from elsewhere; otherwise this dispatcher holds
-	// the whole quotas.
+	// DistributedQuotas is set if the shares of the team quotas are assigned by SetQuotaShare; otherwise this
+	// dispatcher holds the whole quotas.
 	DistributedQuotas bool
 }
 
-// Dispatcher is the home of jobs: it accepts them, starts their tasks and holds their answers. mu guards the map of
-// lanes; each lane has its own lock.
+// Dispatcher is the home of jobs, the member that answers for them: it accepts them, starts their tasks and keeps their
+// answers. mu guards the fields below it; each service scheduler has its own lock.
 type Dispatcher struct {
 	o        Options
 	ctx      context.Context
@@ -63,15 +64,15 @@
 	tasks    *runningTasks
 	retries  RetryBudget
 
-	mu       sync.RWMutex
-	lanes    map[string]*Lane
-	draining bool
+	mu         sync.RWMutex
+	schedulers map[string]*Lane
+	draining   bool
 }
 
 type counters struct {
 	accepted, resubmitted, complete, failed, refused, cancelled   metrics.Counter
 	started, done, taskFailed, notRun, unknown, inDoubt, resolved metrics.Counter
-	outgrown, stragglers, rejected, notSent                       metrics.Counter
+	reclassified, stragglers, rejected, notSent                   metrics.Counter
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -81,7 +82,7 @@
 		failed: c(metric.JobsFailed), refused: c(metric.JobsRefused), cancelled: c(metric.JobsCancelled),
 		started: c(metric.TasksStarted), done: c(metric.TasksDone), taskFailed: c(metric.TasksFailed),
 		notRun: c(metric.TasksNotRun), unknown: c(metric.TasksUnknown), inDoubt: c(metric.TasksInDoubt),
-		resolved: c(metric.TasksResolved), outgrown: c(metric.TasksOutgrown), stragglers: c(metric.TasksStraggling),
+		resolved: c(metric.TasksResolved), reclassified: c(metric.TasksOutgrown), stragglers: c(metric.TasksStraggling),
 		rejected: c(metric.StartsRejected), notSent: c(metric.StartsNotSent),
 	}
 }
@@ -90,7 +91,7 @@
 func New(o Options) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Dispatcher{
-		o: o, ctx: ctx, cancel: cancel, counters: newCounters(o.Metrics), lanes: make(map[string]*Lane),
+		o: o, ctx: ctx, cancel: cancel, counters: newCounters(o.Metrics), schedulers: make(map[string]*Lane),
 		teams: customer.NewTeams(o.DistributedQuotas), tasks: newRunningTasks(),
 	}
 }
@@ -99,11 +100,11 @@
 func (d *Dispatcher) AddService(s *backend.Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ok := d.lanes[s.Name()]; ok {
+	if _, ok := d.schedulers[s.Name()]; ok {
 		return
 	}
-	d.lanes[s.Name()] = NewLane(s, customer.NewQueue(d.teams), LaneOptions{
-		Speed: d.workerSpeed, Granter: d.o.Broker.Granter, Scarce: d.o.Broker.Scarce, Self: d.o.Self,
+	d.schedulers[s.Name()] = NewScheduler(s, customer.NewQueue(d.teams), SchedulerOptions{
+		Speed: d.workerSpeed, Allocator: d.o.Broker.Granter, Scarce: d.o.Broker.Scarce, Self: d.o.Self,
 		Placement: d.o.Placement, Leaving: d.workerLeaving, MayStart: d.mayStart,
 	})
 }
@@ -129,25 +130,25 @@
 	return w.Incarnation()
 }
 
-func (d *Dispatcher) lane(service string) (*Lane, bool) {
+func (d *Dispatcher) scheduler(service string) (*Lane, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l, ok := d.lanes[service]
-	return l, ok
+	sched, ok := d.schedulers[service]
+	return sched, ok
 }
 
-// Lanes returns all lanes.
+// Lanes returns the schedulers of all services.
 func (d *Dispatcher) Lanes() []*Lane {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	lanes := make([]*Lane, 0, len(d.lanes))
-	for _, l := range d.lanes {
-		lanes = append(lanes, l)
+	schedulers := make([]*Lane, 0, len(d.schedulers))
+	for _, sched := range d.schedulers {
+		schedulers = append(schedulers, sched)
 	}
-	return lanes
+	return schedulers
 }
 
-// Submit accepts a job or finds the one accepted before under the same id.
+// Submit accepts a job. It has no effect if a job with the same ID was accepted before.
 func (d *Dispatcher) Submit(spec contract.JobSpec) error {
 	now := d.o.Now()
 	if _, _, err := d.o.Table.Lookup(spec.ID); err == nil {
@@ -170,8 +171,8 @@
 	}
 	d.counters.accepted.Inc(1)
 	d.o.Timeline.Job(timeline.JobAccepted, spec.ID, spec.Service, len(spec.Tasks))
-	lane, _ := d.lane(spec.Service)
-	d.carryOut(lane, lane.Push(items, now))
+	sched, _ := d.scheduler(spec.Service)
+	d.execute(sched, sched.Push(items, now))
 	return nil
 }
 
@@ -184,13 +185,13 @@
 	if err != nil {
 		return nil, err
 	}
-	lane, _ := d.lane(spec.Service)
-	return items, d.admission(lane, spec, items, now)
+	sched, _ := d.scheduler(spec.Service)
+	return items, d.admission(sched, spec, items, now)
 }
 
 // prepare validates a job and turns its tasks into queue items.
 func (d *Dispatcher) prepare(spec *contract.JobSpec, now time.Time) ([]customer.Item, error) {
-	lane, ok := d.lane(spec.Service)
+	sched, ok := d.scheduler(spec.Service)
 	if !ok {
 		return nil, fault.With(fault.Invalid, "unknown service", "service %q is not configured", spec.Service)
 	}
@@ -199,12 +200,12 @@
 	}
 	items := make([]customer.Item, len(spec.Tasks))
 	for i, t := range spec.Tasks {
-		kind, ok := lane.service.Kind(t.Kind)
+		kind, ok := sched.service.Kind(t.Kind)
 		if !ok {
 			return nil, fault.With(fault.Invalid, "unknown kind", "service %q has no request kind %q", spec.Service, t.Kind)
 		}
 		if spec.Deadline.IsZero() {
-			spec.Deadline = now.Add(deadlineOf(kind))
+			spec.Deadline = now.Add(kindDeadline(kind))
 		}
 		items[i] = customer.Item{
 			Task: contract.TaskID{Job: spec.ID, Index: i}, Kind: kind, Class: kind.Class(),
@@ -218,7 +219,7 @@
 	return items, nil
 }
 
-func deadlineOf(k *backend.RequestKind) time.Duration {
+func kindDeadline(k *backend.RequestKind) time.Duration {
 	if d := k.Spec().Deadline; d > 0 {
 		return d
 	}
@@ -243,7 +244,7 @@
 	return nil
 }
 
-// Wait returns the answer of a job, pending if it is not final when ctx ends.
+// Wait returns the answer of a job. The answer is pending if it is not final when ctx is cancelled.
 func (d *Dispatcher) Wait(ctx context.Context, id contract.JobID) (contract.Answer, error) {
 	a, done, err := d.o.Table.Lookup(id)
 	if err != nil || a.Verdict != contract.VerdictPending {
@@ -270,9 +271,9 @@
 	return nil
 }
 
-// Grant takes over slots of a service.
+// Grant adds leased slots of a service and starts waiting tasks on them.
 func (d *Dispatcher) Grant(service string, grants []contract.SlotGrant) {
-	lane, ok := d.lane(service)
+	sched, ok := d.scheduler(service)
 	if !ok {
 		return
 	}
@@ -282,24 +283,24 @@
 			Count: int64(g.Short + g.Long),
 		})
 	}
-	d.carryOut(lane, lane.AddGrants(grants, d.o.Now()))
+	d.execute(sched, sched.AddGrants(grants, d.o.Now()))
 }
 
-// Recall gives slots back that a granter needs for work that has waited for longer than the work here.
-func (d *Dispatcher) Recall(service, granter string, slots int, wait time.Duration) {
-	if lane, ok := d.lane(service); ok {
-		d.carryOut(lane, lane.Recall(granter, slots, wait, d.o.Now()))
+// Recall returns slots that an allocator needs for work that has waited longer than the work here.
+func (d *Dispatcher) Recall(service, allocator string, slots int, wait time.Duration) {
+	if sched, ok := d.scheduler(service); ok {
+		d.execute(sched, sched.Recall(allocator, slots, wait, d.o.Now()))
 	}
 }
 
-// Lane returns the lane of a service.
-func (d *Dispatcher) Lane(service string) (*Lane, bool) { return d.lane(service) }
+// Lane returns the scheduler of a service.
+func (d *Dispatcher) Lane(service string) (*Lane, bool) { return d.scheduler(service) }
 
-// carryOut executes a plan. The lane's lock is not held.
-func (d *Dispatcher) carryOut(l *Lane, p Plan) {
+// execute carries out a plan. The lock of the scheduler must not be held.
+func (d *Dispatcher) execute(sched *Lane, p Plan) {
 	for _, a := range p.Assignments {
 		d.running.Add(1)
-		go d.run(l, a)
+		go d.run(sched, a)
 	}
 	if len(p.Returns) > 0 {
 		for _, r := range p.Returns {
@@ -314,15 +315,16 @@
 	}
 }
 
-// send sends a start unless the others may count this home as gone, as after a pause between decision and start.
+// send sends a start unless other members may have declared this home node gone, for example because the process was
+// paused between the decision and the start.
 func (d *Dispatcher) send(req StartRequest) (StartReply, error) {
 	if !d.mayStart() {
-		return StartReply{}, fault.NotStarted.New("this home may count as gone")
+		return StartReply{}, fault.NotStarted.New("other members may have declared this home node gone")
 	}
 	return d.o.Starter.Start(d.ctx, req)
 }
 
-// Drain refuses new jobs from now on.
+// Drain makes the dispatcher refuse new jobs.
 func (d *Dispatcher) Drain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -336,16 +338,17 @@
 	return d.draining
 }
 
-// Tick returns idle slots that have lingered and states unmet demand again.
+// Tick returns slots that have exceeded their idle timeout, reports unmet demand again and checks the running tasks. It
+// has to be called periodically.
 func (d *Dispatcher) Tick() {
 	now := d.o.Now()
-	for _, l := range d.Lanes() {
-		d.carryOut(l, l.Tick(now))
+	for _, sched := range d.Lanes() {
+		d.execute(sched, sched.Tick(now))
 	}
-	d.watch(now)
+	d.checkRunning(now)
 }
 
-// Close ends all waiting and returns when no task goroutine is left.
+// Close cancels all pending calls and waits until every task goroutine has returned.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.running.Wait()
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,3 +1,3 @@
-// Package dispatch joins waiting tasks with slots, starts them on workers and resolves starts whose outcome is in
-// doubt.
+// Package dispatch matches waiting tasks with worker slots, starts the tasks on workers and resolves starts whose
+// outcome is in doubt.
 package dispatch
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -10,10 +10,10 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// learn takes over what the end of a task says about its kind and its worker. acted says that the run time was
-// changed by a straggler action.
-func (d *Dispatcher) learn(a Assignment, r StartReply, acted bool) {
-	if acted {
+// observeOutcome updates the statistics of a task's kind and the health of its worker with the outcome of the task.
+// actionTaken is set if a straggler action has changed the run time, in which case nothing is recorded.
+func (d *Dispatcher) observeOutcome(a Assignment, r StartReply, actionTaken bool) {
+	if actionTaken {
 		return
 	}
 	now := d.o.Now()
@@ -22,8 +22,8 @@
 		return
 	}
 	if r.Outcome == contract.OutcomeUnknown {
-		// A worker that stops answering is lost or paused; no kind explains that.
-		d.judgeWorker(w, machine.Evidence{Failed: true, Proven: true}, now)
+		// A worker that stops answering is lost or paused, which is never the fault of a kind.
+		d.updateHealth(w, machine.Evidence{Failed: true, Proven: true}, now)
 		return
 	}
 	kind := a.Item.Kind
@@ -36,28 +36,29 @@
 	failed := r.Outcome != contract.OutcomeDone
 	blame := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
 	d.retract(blame, now)
-	d.judgeWorker(w, machine.Evidence{
+	d.updateHealth(w, machine.Evidence{
 		Failed: failed, Proven: blame.Proven, Explained: blame.Explained, Expected: blame.Expected,
 	}, now)
 	if failed && kind.FailsEverywhere(d.workersOf(w.Spec().Service), now) {
-		d.abandon(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
+		d.failWaiting(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
 	}
 }
 
-// learnRejection takes over what a rejected start says about its worker.
-func (d *Dispatcher) learnRejection(l *Lane, a Assignment, now time.Time) {
+// observeRejection updates the health of a worker that has rejected a start.
+func (d *Dispatcher) observeRejection(sched *Lane, a Assignment, now time.Time) {
 	w, ok := d.o.Fleet.Get(a.Slot.Worker)
 	if !ok {
 		return
 	}
-	blame := l.observeStart(a, true, now)
-	d.judgeWorker(w, machine.Evidence{
+	blame := sched.observeStart(a, true, now)
+	d.updateHealth(w, machine.Evidence{
 		Rejected: true, Proven: blame.Proven, Explained: blame.Explained, Expected: blame.Expected,
 	}, now)
 }
 
-// judgeWorker reports a changed health, so that the granters learn of it at once.
-func (d *Dispatcher) judgeWorker(w *machine.Worker, e machine.Evidence, now time.Time) {
+// updateHealth records evidence about a worker and reports a change of its health, so that the slot allocators learn of
+// it at once.
+func (d *Dispatcher) updateHealth(w *machine.Worker, e machine.Evidence, now time.Time) {
 	if w.Observe(e, now) {
 		d.healthChanged(w, now)
 	}
@@ -91,14 +92,14 @@
 	return n
 }
 
-// accepts reports whether a worker may get another task now.
+// accepts reports whether a worker may be given another task now.
 func (d *Dispatcher) accepts(id machine.WorkerID) bool {
 	w, ok := d.o.Fleet.Get(id)
 	return ok && w.Accepts(d.o.Now())
 }
 
-// abandon answers for a job that cannot complete any more; its waiting tasks are not started.
-func (d *Dispatcher) abandon(a Assignment, detail string, now time.Time) {
+// failWaiting fails a job that can no longer complete; its waiting tasks are not started.
+func (d *Dispatcher) failWaiting(a Assignment, detail string, now time.Time) {
 	id := a.Item.Task.Job
 	n, answer, last := d.o.Table.FailWaiting(id, detail, now)
 	if n == 0 {
--- a/dispatch/main_test.go
+++ b/dispatch/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of randomised tests unless one is given, so that every run has the same verdict.
+// TestMain sets a fixed seed for the property tests unless one is given, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/dispatch/match.go
+++ b/dispatch/match.go
@@ -10,43 +10,45 @@
 	"github.com/cicadadale/cicadadale/customer"
 )
 
-// match expects l.mu to be held.
-func (l *Lane) match(now time.Time) Plan {
+// match assigns waiting tasks to slots unless starts are suspended, and adjusts the holdings to the rest. It expects
+// sched.mu to be held.
+func (sched *Lane) match(now time.Time) Plan {
 	var plan Plan
-	l.queue.Advance(now)
-	l.halted = l.stopped || l.o.MayStart != nil && !l.o.MayStart()
-	if !l.halted && l.o.Placement != nil {
-		l.place(&plan, now)
-	} else if !l.halted {
-		l.pair(&plan, now)
+	sched.queue.Advance(now)
+	sched.suspended = sched.stopped || sched.o.MayStart != nil && !sched.o.MayStart()
+	if !sched.suspended && sched.o.Placement != nil {
+		sched.assignByPolicy(&plan, now)
+	} else if !sched.suspended {
+		sched.assignSlots(&plan, now)
 	}
-	depth := l.queue.Depth()
-	l.waiting[backend.ClassShort].trim(depth.Short, now)
-	l.waiting[backend.ClassLong].trim(depth.Long, now)
-	if l.o.Placement == nil {
-		l.settle(&plan, depth, now)
+	depth := sched.queue.Depth()
+	sched.waiting[backend.ClassShort].trim(depth.Short, now)
+	sched.waiting[backend.ClassLong].trim(depth.Long, now)
+	if sched.o.Placement == nil {
+		sched.adjustHoldings(&plan, depth, now)
 	}
 	return plan
 }
 
-// pair assigns waiting tasks to idle slots. Of the tasks that start together, long work gets the slowest workers and
-// the longest short tasks get the fastest ones, as they decide when their job ends. It expects l.mu to be held.
-func (l *Lane) pair(plan *Plan, now time.Time) {
-	for l.holdings.Idle() > 0 {
-		items, long := l.next()
+// assignSlots assigns waiting tasks to idle slots. Among the tasks that start together, long work gets the slowest
+// workers and the longest short tasks get the fastest ones, since they determine when their job completes. It expects
+// sched.mu to be held.
+func (sched *Lane) assignSlots(plan *Plan, now time.Time) {
+	for sched.holdings.Idle() > 0 {
+		items, long := sched.popTasks()
 		if len(items) == 0 {
 			return
 		}
 		plan.Assignments = slices.Grow(plan.Assignments, len(items))
 		for i, it := range items {
-			take := l.holdings.TakeShort
+			take := sched.holdings.TakeShort
 			if i < long {
-				take = l.holdings.TakeLong
+				take = sched.holdings.TakeLong
 			}
-			s, ok := l.takeUsable(take, plan, now)
+			s, ok := sched.takeUsable(take, plan, now)
 			if !ok {
-				// Lapsed slots were counted as idle.
-				l.requeue(items[i:])
+				// Slots whose grants expire too soon were counted as idle.
+				sched.requeue(items[i:])
 				return
 			}
 			plan.Assignments = append(plan.Assignments, Assignment{Item: it, Slot: s})
@@ -54,25 +56,25 @@
 	}
 }
 
-// requeue puts back tasks for which no slot was left. It expects l.mu to be held.
-func (l *Lane) requeue(items []customer.Item) {
+// requeue puts back tasks for which no slot was left. It expects sched.mu to be held.
+func (sched *Lane) requeue(items []customer.Item) {
 	for i := range items {
-		l.queue.Returned(items[i])
+		sched.queue.Returned(items[i])
 		items[i].Charged = false
 	}
-	l.queue.Push(items)
+	sched.queue.Push(items)
 }
 
-// next removes as many tasks from the queue as there are idle slots, long ones first, and returns the number of long
-// ones. It expects l.mu to be held.
-func (l *Lane) next() ([]customer.Item, int) {
-	idle, idleLong := l.holdings.Idle(), l.holdings.IdleLong()
-	depth := l.queue.Depth()
+// popTasks removes up to as many tasks from the queue as there are idle slots. It returns them with the long ones
+// first, and the number of long ones. It expects sched.mu to be held.
+func (sched *Lane) popTasks() ([]customer.Item, int) {
+	idle, idleLong := sched.holdings.Idle(), sched.holdings.IdleLong()
+	depth := sched.queue.Depth()
 	items := make([]customer.Item, 0, min(idle, depth.Short+depth.Long))
 	long := 0
 	for len(items) < idle {
-		// Short tasks may have taken all but idle-len(items) slots, the ones for long work among them.
-		it, ok := l.queue.Pop(long < min(idleLong, idle-len(items)))
+		// Short tasks may have taken all but idle-len(items) slots, including those for long work.
+		it, ok := sched.queue.Pop(long < min(idleLong, idle-len(items)))
 		if !ok {
 			break
 		}
@@ -92,40 +94,40 @@
 	return items, long
 }
 
-// takeUsable takes an idle slot into use and returns lapsed ones to their granters. Slots of a leaving worker are
-// returned as rejected, so that a granter which has not seen the list withholds them instead of granting them again. It
-// expects l.mu to be held.
-func (l *Lane) takeUsable(take func() (contract.Slot, bool), plan *Plan, now time.Time) (contract.Slot, bool) {
+// takeUsable takes an idle slot into use and returns expiring ones to their allocators. Slots of a leaving worker are
+// returned as rejected, so that an allocator that has not seen the worker list withholds them instead of granting them
+// again. It expects sched.mu to be held.
+func (sched *Lane) takeUsable(take func() (contract.Slot, bool), plan *Plan, now time.Time) (contract.Slot, bool) {
 	for {
 		s, ok := take()
-		leaving := ok && l.o.Leaving != nil && l.o.Leaving(s.Worker)
-		if !ok || !leaving && l.usable(s, now) {
+		leaving := ok && sched.o.Leaving != nil && sched.o.Leaving(s.Worker)
+		if !ok || !leaving && sched.usable(s, now) {
 			return s, ok
 		}
-		l.holdings.Drop(s)
-		r := l.returnOf(s)
+		sched.holdings.Drop(s)
+		r := sched.returnOf(s)
 		r.Rejected = leaving
 		plan.Returns = append(plan.Returns, r)
 	}
 }
 
-// place assigns waiting tasks to workers chosen by a baseline policy. It expects l.mu to be held.
-func (l *Lane) place(plan *Plan, now time.Time) {
+// assignByPolicy assigns waiting tasks to workers that a baseline policy chooses. It expects sched.mu to be held.
+func (sched *Lane) assignByPolicy(plan *Plan, now time.Time) {
 	for {
-		worker, ok := l.o.Placement.Choose(l.service.Name(), now)
+		worker, ok := sched.o.Placement.Choose(sched.service.Name(), now)
 		if !ok {
 			return
 		}
-		it, ok := l.queue.Pop(true)
+		it, ok := sched.queue.Pop(true)
 		if !ok {
-			l.o.Placement.Release(worker)
+			sched.o.Placement.Release(worker)
 			return
 		}
 		plan.Assignments = append(plan.Assignments, Assignment{Item: it, Slot: contract.Slot{Worker: worker}})
 	}
 }
 
-// usable reports whether the grant of a slot lasts long enough for a start.
-func (l *Lane) usable(s contract.Slot, now time.Time) bool {
-	return now.Add(startMargin).Before(l.holdings.Expires(s))
+// usable reports whether the grant of a slot remains valid long enough for a start.
+func (sched *Lane) usable(s contract.Slot, now time.Time) bool {
+	return now.Add(startMargin).Before(sched.holdings.Expires(s))
 }
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -19,14 +19,14 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// fakeWorkers runs tasks for as long as run says. mu guards all fields.
+// fakeWorkers simulates tasks with the run time and outcome that run returns. mu guards all fields.
 type fakeWorkers struct {
 	mu      sync.Mutex
 	run     func(StartRequest) (time.Duration, contract.Outcome)
 	starts  map[machine.WorkerID]int
 	renewed map[contract.TaskID]int
 	stops   map[contract.TaskID]chan struct{}
-	acted   []backend.StragglerAction
+	actions []backend.StragglerAction
 	reject  bool
 }
 
@@ -64,14 +64,14 @@
 func (f *fakeWorkers) Act(_ context.Context, r StartRequest, a backend.StragglerAction) (ControlReply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.acted = append(f.acted, a)
+	f.actions = append(f.actions, a)
 	if a == backend.StragglerStop {
 		close(f.stops[r.Ticket.Task])
 	}
 	return ControlReply{SlotFreed: a != backend.StragglerStop}, nil
 }
 
-// fakeBroker grants every demand from a fixed number of slots of the workers that accept tasks.
+// fakeBroker grants every demand as far as the workers that accept tasks have slots.
 type fakeBroker struct {
 	d       *Dispatcher
 	workers []machine.WorkerID
@@ -112,7 +112,7 @@
 	}
 }
 
-type bench struct {
+type dispatcherFixture struct {
 	d       *Dispatcher
 	table   *contract.JobTable
 	workers *fakeWorkers
@@ -120,9 +120,9 @@
 	fleet   *machine.Fleet
 }
 
-// newBench starts a dispatcher with workers w1, w2, ... It must be called in a bubble.
-func newBench(n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome)) *bench {
-	b := &bench{
+// newFixture starts a dispatcher with n workers named a, b, ... It must be called in a synctest bubble.
+func newFixture(n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome)) *dispatcherFixture {
+	b := &dispatcherFixture{
 		table: contract.NewJobTable(1, 7), fleet: machine.NewFleet(),
 		workers: &fakeWorkers{
 			run: run, starts: make(map[machine.WorkerID]int), renewed: make(map[contract.TaskID]int),
@@ -149,7 +149,7 @@
 	return b
 }
 
-func (b *bench) submit(tasks int, kind string) (contract.JobID, error) {
+func (b *dispatcherFixture) submit(tasks int, kind string) (contract.JobID, error) {
 	id := b.table.Mint(1)[0]
 	spec := contract.JobSpec{ID: id, Service: "s", Customer: "c", Team: "t", Deadline: time.Now().Add(time.Minute)}
 	for range tasks {
@@ -158,8 +158,8 @@
 	return id, b.d.Submit(spec)
 }
 
-// run advances the time of the bubble and ticks.
-func (b *bench) run(d time.Duration) {
+// run advances the time of the bubble, with a tick every 10 ms.
+func (b *dispatcherFixture) run(d time.Duration) {
 	for range int(d / (10 * time.Millisecond)) {
 		time.Sleep(10 * time.Millisecond)
 		b.d.Tick()
@@ -167,22 +167,22 @@
 	}
 }
 
-func (b *bench) answer(t require.TestingT, id contract.JobID) contract.Answer {
+func (b *dispatcherFixture) answer(t require.TestingT, id contract.JobID) contract.Answer {
 	a, _, err := b.table.Lookup(id)
 	require.NoError(t, err)
 	return a
 }
 
-var okKind = backend.KindSpec{Name: "k", Expected: 100 * time.Millisecond}
+var testKind = backend.KindSpec{Name: "k", Expected: 100 * time.Millisecond}
 
-func takes(d time.Duration) func(StartRequest) (time.Duration, contract.Outcome) {
+func runsFor(d time.Duration) func(StartRequest) (time.Duration, contract.Outcome) {
 	return func(StartRequest) (time.Duration, contract.Outcome) { return d, contract.OutcomeDone }
 }
 
-// Guards against a worker that fails everything at once and so draws all the work.
-func TestFailingWorkerLosesFewTasks(t *testing.T) {
+// Guards against a worker that fails every task immediately and, as it is always free, attracts all the work.
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(5, 4, []backend.KindSpec{okKind}, func(r StartRequest) (time.Duration, contract.Outcome) {
+		b := newFixture(5, 4, []backend.KindSpec{testKind}, func(r StartRequest) (time.Duration, contract.Outcome) {
 			if r.Worker == "a" {
 				return time.Millisecond, contract.OutcomeFailed
 			}
@@ -196,7 +196,7 @@
 		b.run(3 * time.Second)
 		w, _ := b.fleet.Get("a")
 		require.NotEqual(t, machine.Healthy, w.HealthAt(time.Now()))
-		// Three unproven failures, the suspect's single slot until another worker has succeeded, and the probes.
+		// Three unproven failures, the suspect worker's single slot until another worker has succeeded, and the probes.
 		require.LessOrEqual(t, b.workers.starts["a"], 16)
 		for _, id := range b.broker.workers[1:] {
 			w, _ := b.fleet.Get(id)
@@ -205,11 +205,12 @@
 	})
 }
 
-// Guards against a kind that fails everywhere and takes the workers along, and against its jobs being tried to the end.
-func TestFailingKindIsAnsweredAtOnce(t *testing.T) {
+// Guards against a kind that fails on every worker and causes the workers to be quarantined, and against running all
+// tasks of its jobs.
+func TestFailingKindFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad := backend.KindSpec{Name: "bad", Expected: 100 * time.Millisecond}
-		b := newBench(5, 4, []backend.KindSpec{okKind, bad}, func(r StartRequest) (time.Duration, contract.Outcome) {
+		b := newFixture(5, 4, []backend.KindSpec{testKind, bad}, func(r StartRequest) (time.Duration, contract.Outcome) {
 			if r.Ticket.Kind == "bad" {
 				return 10 * time.Millisecond, contract.OutcomeFailed
 			}
@@ -237,28 +238,28 @@
 		}
 		_, first := b.submit(1, "bad")
 		_, second := b.submit(1, "bad")
-		require.NoError(t, first, "a trial is let through")
+		require.NoError(t, first, "a trial job is accepted")
 		require.True(t, fault.IsProvenNotStarted(second))
 		b.run(time.Second)
 	})
 }
 
-// Guards against a straggler that holds its slot to the end, one that is reported as not run, and a lease that lapses
-// while its home lives.
+// Guards against a straggler that holds its slot until it ends or is reported as not run, and against a lease that
+// expires while its home node is alive.
 func TestStragglers(t *testing.T) {
 	for action, freed := range map[backend.StragglerAction]bool{
 		backend.StragglerStop: true, backend.StragglerThrottle: true, backend.StragglerWait: false,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			kind := backend.KindSpec{Name: "k", Expected: 200 * time.Millisecond, Straggler: action}
-			b := newBench(1, 1, []backend.KindSpec{kind}, takes(20*time.Second))
+			b := newFixture(1, 1, []backend.KindSpec{kind}, runsFor(20*time.Second))
 			defer b.d.Close()
 			id, err := b.submit(1, "k")
 			require.NoError(t, err)
 			next, err := b.submit(1, "k")
 			require.NoError(t, err)
 			b.run(8 * time.Second)
-			require.Equal(t, freed, len(b.workers.acted) > 0)
+			require.Equal(t, freed, len(b.workers.actions) > 0)
 			p, err := b.table.Progress(next)
 			require.NoError(t, err)
 			require.Equal(t, freed, p.Waiting == 0, "the next task has the slot")
@@ -273,10 +274,10 @@
 	}
 }
 
-// Guards against a demand for tasks that were cancelled, and against waiting tasks that keep an old priority.
+// Guards against demand for cancelled tasks, and against waiting tasks that keep their old priority.
 func TestCancelAndReconfigureReachTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1, 1, []backend.KindSpec{okKind}, takes(100*time.Millisecond))
+		b := newFixture(1, 1, []backend.KindSpec{testKind}, runsFor(100*time.Millisecond))
 		defer b.d.Close()
 		first, _ := b.submit(100, "k")
 		synctest.Wait()
@@ -286,22 +287,22 @@
 		_, err := b.d.Reconfigure(third, time.Time{}, 5)
 		require.NoError(t, err)
 		require.NoError(t, b.d.Cancel(first))
-		lane, _ := b.d.Lane("s")
-		require.Equal(t, 10, lane.View().Depth.Waiting)
+		sched, _ := b.d.Lane("s")
+		require.Equal(t, 10, sched.View().Depth.Waiting)
 		b.run(600 * time.Millisecond)
 		require.Equal(t, contract.VerdictComplete, b.answer(t, third).Verdict)
 		require.Equal(t, contract.VerdictPending, b.answer(t, second).Verdict)
 	})
 }
 
-// Guards against jobs that are accepted without a worker, beyond the bounds, or with a wait beyond their deadline.
+// Guards against accepting jobs without a worker, beyond the queue limits, or with an expected wait beyond the deadline.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		none := newBench(0, 1, []backend.KindSpec{okKind}, takes(time.Second))
+		none := newFixture(0, 1, []backend.KindSpec{testKind}, runsFor(time.Second))
 		defer none.d.Close()
 		_, err := none.submit(1, "k")
 		require.Equal(t, "no worker", fault.Reason(err))
-		b := newBench(1, 1, []backend.KindSpec{okKind}, takes(100*time.Millisecond))
+		b := newFixture(1, 1, []backend.KindSpec{testKind}, runsFor(100*time.Millisecond))
 		defer b.d.Close()
 		_, err = b.submit(500, "k")
 		require.NoError(t, err)
@@ -316,17 +317,17 @@
 	})
 }
 
-// Guards against a storm of repeated starts when every worker rejects, and against an accepted task that is dropped
-// before its deadline.
+// Guards against a retry storm when every worker rejects starts, and against dropping an accepted task before its
+// deadline.
 func TestRejectedStartsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1, 8, []backend.KindSpec{okKind}, takes(100*time.Millisecond))
+		b := newFixture(1, 8, []backend.KindSpec{testKind}, runsFor(100*time.Millisecond))
 		defer b.d.Close()
 		b.workers.reject = true
 		id, err := b.submit(20, "k")
 		require.NoError(t, err)
 		b.run(10 * time.Second)
-		// The saved-up budget, then one attempt of each task in half a second at most.
+		// The initial retry budget, then at most one attempt of each task per half second.
 		require.LessOrEqual(t, b.workers.starts["a"], retryBurst+20+20*20)
 		require.Equal(t, contract.VerdictPending, b.answer(t, id).Verdict)
 		w, _ := b.fleet.Get("a")
@@ -339,7 +340,7 @@
 	})
 }
 
-// Guards against retries beyond the budget.
+// Guards against fast retries beyond the budget.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b RetryBudget
@@ -360,10 +361,10 @@
 	})
 }
 
-// Guards against quota that is not offered to waiting tasks when a task ends or a share grows.
+// Guards against quota that is not offered to waiting tasks after a task has ended or a share has grown.
 func TestQuotaBoundsRunningTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1, 8, []backend.KindSpec{okKind}, takes(100*time.Millisecond))
+		b := newFixture(1, 8, []backend.KindSpec{testKind}, runsFor(100*time.Millisecond))
 		defer b.d.Close()
 		require.NoError(t, b.d.ApplyCustomers(customer.Settings{Revision: 1, Customers: []customer.Spec{
 			{Name: "c", Teams: []customer.TeamSpec{{Name: "t", Slots: 2}}},
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -8,12 +8,12 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// avoidFor is how long a worker that refused a start is not chosen again. It bounds the rejected starts of a home at a
-// crest, when most workers are full.
-const avoidFor = 20 * time.Millisecond
+// avoidDuration is how long a worker that rejected a start is not chosen again. It bounds the rejected starts of a home
+// node at peak load, when most workers are full.
+const avoidDuration = 20 * time.Millisecond
 
-// randomDraws is the number of uniform draws before the list is searched: the search favours workers that follow full
-// ones.
+// randomDraws is the number of uniform draws before the list is searched linearly. The linear search is biased towards
+// workers that follow full ones.
 const randomDraws = 4
 
 // PlacementWorker is a worker that a baseline policy may choose.
@@ -21,35 +21,35 @@
 	ID      machine.WorkerID
 	Service string
 	Slots   int
-	// Busy is the number of slots in use by the last status report.
+	// Busy is the number of slots in use according to the last status report.
 	Busy int
 }
 
-// Placement chooses a worker for each task without grants, by one of the baseline policies. Its mutex guards all
-// fields.
+// Placement chooses a worker for each task without grants, by one of the baseline policies. mu guards the fields below
+// it.
 type Placement struct {
 	policy Policy
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	services map[string][]*placed
-	workers  map[machine.WorkerID]*placed
+	services map[string][]*candidate
+	workers  map[machine.WorkerID]*candidate
 }
 
-type placed struct {
+type candidate struct {
 	PlacementWorker
 	inFlight int
 	avoid    time.Time
 }
 
-// NewPlacement returns the placement of a policy, nil for the default policy.
+// NewPlacement returns the placement of a baseline policy, or nil for the default policy.
 func NewPlacement(p Policy, seed uint64) *Placement {
 	if p == PolicyDefault {
 		return nil
 	}
 	return &Placement{
 		policy: p, random: rand.New(rand.NewPCG(seed, seed)),
-		services: make(map[string][]*placed), workers: make(map[machine.WorkerID]*placed),
+		services: make(map[string][]*candidate), workers: make(map[machine.WorkerID]*candidate),
 	}
 }
 
@@ -57,12 +57,12 @@
 func (p *Placement) SetWorkers(workers []PlacementWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.services = make(map[string][]*placed)
-	known := make(map[machine.WorkerID]*placed, len(workers))
+	p.services = make(map[string][]*candidate)
+	known := make(map[machine.WorkerID]*candidate, len(workers))
 	for _, w := range workers {
 		x, ok := p.workers[w.ID]
 		if !ok {
-			x = &placed{}
+			x = &candidate{}
 		}
 		x.PlacementWorker = w
 		known[w.ID] = x
@@ -70,15 +70,15 @@
 	}
 	for id, x := range p.workers {
 		if _, ok := known[id]; !ok && x.inFlight > 0 {
-			// Its starts are still to be released.
+			// Its pending starts still have to be released.
 			known[id] = x
 		}
 	}
 	p.workers = known
 }
 
-// Choose returns the worker for the next start and counts the start. It returns false while every worker has as many
-// starts of this home as slots or has just refused one.
+// Choose returns the worker for the next start and counts the start as in flight. It returns false while every worker
+// has as many starts of this home node in flight as slots or has just rejected one.
 func (p *Placement) Choose(service string, now time.Time) (machine.WorkerID, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // pick expects p.mu to be held.
-func (p *Placement) pick(all []*placed, now time.Time) *placed {
+func (p *Placement) pick(all []*candidate, now time.Time) *candidate {
 	first := p.pickOne(all, nil, now)
 	if first == nil || p.policy == PolicyRandom {
 		return first
@@ -103,13 +103,13 @@
 	return first
 }
 
-// pickOne returns a random worker that may be chosen: one of a few random draws, or else the first one from a random
-// place of the list on. It expects p.mu to be held.
-func (p *Placement) pickOne(all []*placed, except *placed, now time.Time) *placed {
+// pickOne returns a random usable worker other than except: one of a few random draws, or else the first usable one
+// from a random position of the list. It expects p.mu to be held.
+func (p *Placement) pickOne(all []*candidate, except *candidate, now time.Time) *candidate {
 	if len(all) == 0 {
 		return nil
 	}
-	usable := func(w *placed) bool { return w != except && w.inFlight < w.Slots && !now.Before(w.avoid) }
+	usable := func(w *candidate) bool { return w != except && w.inFlight < w.Slots && !now.Before(w.avoid) }
 	for range randomDraws {
 		if w := all[p.random.IntN(len(all))]; usable(w) {
 			return w
@@ -125,11 +125,11 @@
 	return nil
 }
 
-func (w *placed) load() float64 {
+func (w *candidate) load() float64 {
 	return float64(w.Busy+w.inFlight) / float64(max(1, w.Slots))
 }
 
-// Release ends a start.
+// Release records that a start has ended.
 func (p *Placement) Release(id machine.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // release expects p.mu to be held.
-func (p *Placement) release(id machine.WorkerID) *placed {
+func (p *Placement) release(id machine.WorkerID) *candidate {
 	w, ok := p.workers[id]
 	if ok && w.inFlight > 0 {
 		w.inFlight--
@@ -145,16 +145,16 @@
 	return w
 }
 
-// Reject ends a start that the worker refused.
+// Reject records that a start was rejected by the worker, which is then avoided for avoidDuration.
 func (p *Placement) Reject(id machine.WorkerID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.release(id); w != nil {
-		w.avoid = now.Add(avoidFor)
+		w.avoid = now.Add(avoidDuration)
 	}
 }
 
-// InFlight counts the starts of a service that have not ended.
+// InFlight returns the number of starts of a service that have not ended.
 func (p *Placement) InFlight(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/dispatch/policy.go
+++ b/dispatch/policy.go
@@ -6,16 +6,16 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// Policy is the way in which a home chooses the worker of a task.
+// Policy determines how a home node chooses the worker of a task.
 type Policy string
 
-// Policies. The two besides the default are the baselines that it is compared with.
+// Policies. The other two are the baselines with which the default is compared.
 const (
-	// PolicyDefault starts tasks on slots that the workers' granters have granted.
+	// PolicyDefault starts tasks on slots granted by the workers' slot allocators.
 	PolicyDefault Policy = "default"
 	// PolicyRandom chooses any listed worker of the service; a full worker rejects the start.
 	PolicyRandom Policy = "random"
-	// PolicyBestOfTwo chooses the less loaded of two random workers by their last known load.
+	// PolicyBestOfTwo chooses the less loaded of two random workers according to their last known load.
 	PolicyBestOfTwo Policy = "best-of-two"
 )
 
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -8,8 +8,8 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// refuse makes a refusal binding: a copy of the submission that arrives later under the same id gets the same answer.
-// If another copy was accepted meanwhile, the submission counts as a repetition of it.
+// refuse records a refusal, so that a later submission with the same job ID gets the same answer. If the job was
+// accepted in the meantime, the submission counts as a resubmission and succeeds.
 func (d *Dispatcher) refuse(id contract.JobID, cause error, now time.Time) error {
 	if !fault.IsProvenNotStarted(cause) {
 		return cause
@@ -23,8 +23,8 @@
 	return cause
 }
 
-// Adopt queues a job that another home has handed over. A repeated hand-over has no effect. A job that cannot run here
-// is answered as refused, since it never started.
+// Adopt queues a job that another home node has handed over. A repeated hand-over has no effect. A job that cannot run
+// here is answered as refused, since it never started.
 func (d *Dispatcher) Adopt(spec contract.JobSpec) {
 	now := d.o.Now()
 	items, err := d.prepare(&spec, now)
@@ -38,31 +38,31 @@
 		return
 	}
 	d.counters.accepted.Inc(1)
-	lane, _ := d.lane(spec.Service)
-	d.carryOut(lane, lane.Push(items, now))
+	sched, _ := d.scheduler(spec.Service)
+	d.execute(sched, sched.Push(items, now))
 }
 
-// Requeue queues jobs again that were detached from the table and restored to it. Their tasks may still be in the
-// queue as well; the table's gate lets each start once.
+// Requeue queues jobs that were detached from the job table and restored to it. Their tasks may be in the queue twice;
+// the table lets each task start once.
 func (d *Dispatcher) Requeue(specs []contract.JobSpec) {
 	now := d.o.Now()
 	for _, spec := range specs {
 		if items, err := d.prepare(&spec, now); err == nil {
-			lane, _ := d.lane(spec.Service)
-			d.carryOut(lane, lane.Push(items, now))
+			sched, _ := d.scheduler(spec.Service)
+			d.execute(sched, sched.Push(items, now))
 		}
 	}
 }
 
-// DropIdle returns all idle slots, whose grants may have run out while the process was paused.
+// DropIdle returns all idle slots, because their grants may have expired while the process was paused.
 func (d *Dispatcher) DropIdle() {
-	for _, l := range d.Lanes() {
-		d.carryOut(l, l.dropIdle())
+	for _, sched := range d.Lanes() {
+		d.execute(sched, sched.dropIdle())
 	}
 }
 
-func (l *Lane) dropIdle() Plan {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Plan{Returns: l.returns(l.holdings.DropIdle(func(contract.Slot) bool { return true }))}
+func (sched *Lane) dropIdle() Plan {
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
+	return Plan{Returns: sched.returns(sched.holdings.DropIdle(func(contract.Slot) bool { return true }))}
 }
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -12,28 +12,28 @@
 
 const (
 	defaultDeadline = 10 * time.Second
-	// shortLease and longLease are how long a task of a class runs on when its home has gone. A start that is not
-	// answered for as long is in doubt, so that they exceed what most tasks of the class take.
+	// shortLease and longLease are how long a task of a class continues to run after its home node has died. A start
+	// without an answer for that long is in doubt, so they exceed the run time of most tasks of the class.
 	shortLease = 10 * time.Second
 	longLease  = 30 * time.Second
-	// startWindow is how long after the decision a worker may still start the task.
+	// startWindow is the time after the decision within which the worker may start the task.
 	startWindow = time.Second
-	// resolveDelay spaces the attempts to ask a worker about a start in doubt.
-	resolveDelay = 250 * time.Millisecond
-	// resolveFor is how long an unreachable worker is asked before the outcome counts as unknown.
-	resolveFor = 5 * time.Second
+	// resolveInterval is the time between queries to a worker about a start in doubt.
+	resolveInterval = 250 * time.Millisecond
+	// resolveTimeout is how long an unreachable worker is queried before the outcome counts as unknown.
+	resolveTimeout = 5 * time.Second
 )
 
 func (d *Dispatcher) mayStart() bool { return d.o.MayStart == nil || d.o.MayStart() }
 
 // run starts one task and records its outcome.
-func (d *Dispatcher) run(l *Lane, a Assignment) {
+func (d *Dispatcher) run(sched *Lane, a Assignment) {
 	defer d.running.Done()
 	ticket, ok := d.o.Table.Start(a.Item.Task, string(a.Slot.Worker))
 	if !ok {
 		// The job was cancelled while the task waited.
-		d.wake(a.Item, l.queue.Returned(a.Item))
-		d.carryOut(l, l.Release(a.Slot, d.o.Now()))
+		d.wake(a.Item, sched.queue.Returned(a.Item))
+		d.execute(sched, sched.Release(a.Slot, d.o.Now()))
 		return
 	}
 	req := StartRequest{
@@ -42,7 +42,7 @@
 	}
 	d.counters.started.Inc(1)
 	d.retries.Earn()
-	task := d.tasks.add(l, a, req, d.o.Now())
+	task := d.tasks.add(sched, a, req, d.o.Now())
 	d.o.Timeline.Task(timeline.TaskStarted, ticket.Task, a.Slot.Worker, "")
 	reply, err := d.send(req)
 	if err != nil && !fault.IsProvenNotStarted(err) {
@@ -50,22 +50,22 @@
 		d.o.Timeline.Task(timeline.TaskInDoubt, ticket.Task, a.Slot.Worker, "")
 		reply, err = d.resolve(req)
 	}
-	outgrown, acted, released := d.tasks.remove(task)
-	if outgrown {
+	reclassified, actionTaken, released := d.tasks.remove(task)
+	if reclassified {
 		a.Item.Kind.Shrink()
 	}
-	// The slot counts as held by long work if the start was in doubt for long.
+	// The slot may have been reclassified as held by long work, also while the start was in doubt.
 	a.Slot = task.assignment.Slot
 	if err != nil {
-		d.notStarted(l, a, released, err)
+		d.notStarted(sched, a, released, err)
 		return
 	}
-	l.observeStart(a, false, d.o.Now())
-	d.learn(a, reply, acted)
+	sched.observeStart(a, false, d.o.Now())
+	d.observeOutcome(a, reply, actionTaken)
 	d.finish(a, reply)
-	d.wake(a.Item, l.queue.Finished(a.Item, reply.RunTime))
+	d.wake(a.Item, sched.queue.Finished(a.Item, reply.RunTime))
 	if !released {
-		d.carryOut(l, l.Leave(a.Slot, d.accepts(a.Slot.Worker), d.o.Now()))
+		d.execute(sched, sched.ReleaseOrReturn(a.Slot, d.accepts(a.Slot.Worker), d.o.Now()))
 	}
 }
 
@@ -76,9 +76,9 @@
 	return shortLease
 }
 
-// resolve asks the worker about a start in doubt until it answers or counts as lost.
+// resolve queries the worker about a start in doubt until it reports the outcome or counts as lost.
 func (d *Dispatcher) resolve(req StartRequest) (StartReply, error) {
-	until := d.o.Now().Add(resolveFor)
+	until := d.o.Now().Add(resolveTimeout)
 	for {
 		reply, err := d.o.Starter.Resolve(d.ctx, req)
 		if err == nil || fault.IsProvenNotStarted(err) {
@@ -87,22 +87,22 @@
 			return reply, err
 		}
 		if fault.Reason(err) == fault.ReasonRunning {
-			until = d.o.Now().Add(resolveFor)
+			until = d.o.Now().Add(resolveTimeout)
 		}
 		if d.o.Now().After(until) {
 			return StartReply{Outcome: contract.OutcomeUnknown, Detail: err.Error()}, nil
 		}
 		select {
-		case <-time.After(resolveDelay):
+		case <-time.After(resolveInterval):
 		case <-d.ctx.Done():
 			return StartReply{Outcome: contract.OutcomeUnknown, Detail: "entry VM stopped"}, nil
 		}
 	}
 }
 
-// notStarted queues a task again whose start is proven not to have happened. released says that its slot was given up
-// before.
-func (d *Dispatcher) notStarted(l *Lane, a Assignment, released bool, cause error) {
+// notStarted requeues a task whose start is proven not to have happened. released is set if its slot was already given
+// up.
+func (d *Dispatcher) notStarted(sched *Lane, a Assignment, released bool, cause error) {
 	d.counters.rejected.Inc(1)
 	if fault.Reason(cause) == fault.ReasonNotSent {
 		d.counters.notSent.Inc(1)
@@ -110,16 +110,16 @@
 	d.o.Timeline.Task(timeline.TaskRejected, a.Item.Task, a.Slot.Worker, fault.Reason(cause))
 	now := d.o.Now()
 	requeue := d.o.Table.NotStarted(a.Item.Task, now)
-	d.wake(a.Item, l.queue.Returned(a.Item))
+	d.wake(a.Item, sched.queue.Returned(a.Item))
 	full := fault.Reason(cause) == ReasonWorkerFull
 	if !released {
-		d.carryOut(l, l.Reject(a.Slot, full, now))
+		d.execute(sched, sched.Reject(a.Slot, full, now))
 	}
 	if !full {
-		// A full worker is in order: two granters have given its slots away, which the granters heal.
-		d.learnRejection(l, a, now)
+		// A full worker is healthy: two allocators have granted the same slots, which the allocators correct.
+		d.observeRejection(sched, a, now)
 	}
-	if !requeue || d.giveUp(&a, now) {
+	if !requeue || d.failExpired(&a, now) {
 		return
 	}
 	d.o.Logger.Debug("start rejected", "task", a.Item.Task, "worker", a.Slot.Worker, "error", cause)
@@ -128,11 +128,12 @@
 	case <-d.ctx.Done():
 		return
 	}
-	d.carryOut(l, l.Push([]customer.Item{a.Item}, d.o.Now()))
+	d.execute(sched, sched.Push([]customer.Item{a.Item}, d.o.Now()))
 }
 
-// retryPause returns the time until a rejected task is queued again. Rejections by full workers are the normal course of
-// the baseline policies, which avoid such a worker for a while: the retry budget would only make the tasks wait.
+// retryPause returns the delay before a rejected task is queued again. The retry budget does not apply to rejections by
+// full workers under the baseline policies: they are expected, the policies avoid the worker for a while, and the budget
+// would only delay the tasks.
 func (d *Dispatcher) retryPause(attempt int, full bool) time.Duration {
 	if full && d.o.Placement != nil {
 		return retryDelay
@@ -167,7 +168,7 @@
 	}
 }
 
-// outcomeKind returns the kind of event for a task's final outcome.
+// outcomeKind returns the event kind for the final outcome of a task.
 func outcomeKind(o contract.Outcome) timeline.Kind {
 	switch o {
 	case contract.OutcomeDone:
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -13,47 +13,48 @@
 
 const (
 	runningShards = 16
-	// watchInterval spaces the looks at the running tasks.
-	watchInterval = 100 * time.Millisecond
-	// leaseRenewals is the number of renewals within a lease, so that two may be lost.
+	// checkInterval is the time between checks of the running tasks.
+	checkInterval = 100 * time.Millisecond
+	// leaseRenewals is the number of renewals per lease term, so that two of them may be lost.
 	leaseRenewals = 3
 )
 
 // ControlReply is a worker's reply to a call about a running task.
 type ControlReply struct {
-	// SlotFreed says that the worker has made the slot of the task available to another one.
+	// SlotFreed is set if the worker has made the slot of the task available to another task.
 	SlotFreed bool
 }
 
-// TaskControl acts on running tasks. The calls are idempotent, and a task that has ended is not affected.
+// TaskControl renews and controls running tasks. The calls are idempotent and do not affect a task that has ended.
 type TaskControl interface {
 	// Renew extends the lease of a running task.
 	Renew(ctx context.Context, req StartRequest) error
-	// Act throttles, checkpoints or stops a running task. A stopped task is reported as failed by its start.
+	// Act throttles, checkpoints or stops a running task. The start of a stopped task reports it as failed.
 	Act(ctx context.Context, req StartRequest, action backend.StragglerAction) (ControlReply, error)
 }
 
-// runningTask is a task whose start was sent. The lock of its shard guards the fields below it.
+// runningTask is a task whose start was sent. The lock of its shard guards assignment.Slot and the fields from renewed
+// on.
 type runningTask struct {
-	lane       *Lane
+	scheduler  *Lane
 	assignment Assignment
 	req        StartRequest
 	started    time.Time
 
-	renewed  time.Time
-	renewing bool
-	outgrown bool
-	acted    bool
-	// released says that the slot was given up before the end of the task.
+	renewed      time.Time
+	renewing     bool
+	reclassified bool
+	actionTaken  bool
+	// released is set if the slot was given up before the end of the task.
 	released bool
 }
 
-// runningTasks holds the tasks that this home has started, in shards by job.
+// runningTasks holds the tasks that this home node has started, in shards by task.
 type runningTasks struct {
 	shards [runningShards]runningShard
 
-	mu      sync.Mutex
-	watched time.Time
+	mu        sync.Mutex
+	lastCheck time.Time
 }
 
 type runningShard struct {
@@ -73,8 +74,8 @@
 	return &r.shards[(id.Job.Seq+uint64(id.Index))%runningShards]
 }
 
-func (r *runningTasks) add(l *Lane, a Assignment, req StartRequest, now time.Time) *runningTask {
-	t := &runningTask{lane: l, assignment: a, req: req, started: now, renewed: now}
+func (r *runningTasks) add(sched *Lane, a Assignment, req StartRequest, now time.Time) *runningTask {
+	t := &runningTask{scheduler: sched, assignment: a, req: req, started: now, renewed: now}
 	s := r.shard(a.Item.Task)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,17 +83,18 @@
 	return t
 }
 
-// remove ends the watch of a task and returns what had been done about it.
-func (r *runningTasks) remove(t *runningTask) (outgrown, acted, released bool) {
+// remove removes a task and returns whether it was reclassified, was subject to a straggler action and gave up its
+// slot.
+func (r *runningTasks) remove(t *runningTask) (reclassified, actionTaken, released bool) {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.tasks, t.assignment.Item.Task)
-	return t.outgrown, t.acted, t.released
+	return t.reclassified, t.actionTaken, t.released
 }
 
-// markLong counts the slot of a task as held by long work. It returns false if the task has ended, has no slot or a slot
-// for long work.
+// markLong counts the slot of a task as held by long work. It returns false if the task has ended, has given up its slot
+// or already has a slot for long work.
 func (r *runningTasks) markLong(t *runningTask) bool {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
@@ -100,13 +102,13 @@
 	if s.tasks[t.assignment.Item.Task] != t || t.released || t.assignment.Slot.Long {
 		return false
 	}
-	// The lane is changed under the lock of the shard, so that the slot cannot be released in between.
-	t.lane.outgrow(t.assignment.Slot)
+	// The scheduler is updated under the lock of the shard, so that the slot cannot be released in between.
+	t.scheduler.reclassify(t.assignment.Slot)
 	t.assignment.Slot.Long = true
 	return true
 }
 
-// release marks the slot of a task as given up. It returns false if the task has ended or has no slot.
+// release marks the slot of a task as given up. It returns false if the task has ended or has already given it up.
 func (r *runningTasks) release(t *runningTask) (contract.Slot, bool) {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
@@ -118,25 +120,25 @@
 	return t.assignment.Slot, true
 }
 
-// due reports whether it is time for the next look.
+// due reports whether the running tasks have to be checked again and records the check.
 func (r *runningTasks) due(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.watched) < watchInterval {
+	if now.Sub(r.lastCheck) < checkInterval {
 		return false
 	}
-	r.watched = now
+	r.lastCheck = now
 	return true
 }
 
-// pendingAction is what has to be done about a running task, once the lock is released.
+// pendingAction lists the actions for a running task. They are carried out after the lock is released.
 type pendingAction struct {
 	task  *runningTask
 	renew bool
 	step  backend.Step
 }
 
-// pendingActions decides about all running tasks at now.
+// pendingActions returns the actions that are due at now for all running tasks.
 func (r *runningTasks) pendingActions(now time.Time, speed func(machine.WorkerID) float64) []pendingAction {
 	var out []pendingAction
 	for i := range r.shards {
@@ -152,7 +154,8 @@
 	return out
 }
 
-// pendingAction expects the shard lock to be held.
+// pendingAction returns the actions that are due for a task and marks them as taken. It expects the shard lock to be
+// held.
 func (t *runningTask) pendingAction(now time.Time, speed func(machine.WorkerID) float64) pendingAction {
 	d := pendingAction{task: t}
 	if !t.renewing && now.Sub(t.renewed) >= t.req.Lease/leaseRenewals {
@@ -164,15 +167,15 @@
 	}
 	item := &t.assignment.Item
 	d.step = item.Kind.Judge(backend.Progress{
-		Elapsed: elapsed, Class: item.Class, Outgrown: t.outgrown, Acted: t.acted,
+		Elapsed: elapsed, Class: item.Class, Outgrown: t.reclassified, Acted: t.actionTaken,
 	}, speed(t.assignment.Slot.Worker))
-	t.outgrown = t.outgrown || d.step.Outgrow
-	t.acted = t.acted || d.step.Act != backend.StragglerWait
+	t.reclassified = t.reclassified || d.step.Outgrow
+	t.actionTaken = t.actionTaken || d.step.Act != backend.StragglerWait
 	return d
 }
 
 // renewed records the end of a renewal.
-func (r *runningTasks) renewedAt(t *runningTask, ok bool, now time.Time) {
+func (r *runningTasks) finishRenewal(t *runningTask, ok bool, now time.Time) {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,14 +185,14 @@
 	}
 }
 
-// watch renews leases and acts on tasks that have outgrown their class or become stragglers.
-func (d *Dispatcher) watch(now time.Time) {
+// checkRunning renews leases, reclassifies tasks that exceed the short-task limit and acts on stragglers.
+func (d *Dispatcher) checkRunning(now time.Time) {
 	if !d.tasks.due(now) {
 		return
 	}
 	for _, x := range d.tasks.pendingActions(now, d.workerSpeed) {
 		if x.step.Outgrow {
-			d.outgrow(x.task)
+			d.reclassify(x.task)
 		}
 		if d.o.Control == nil {
 			continue
@@ -200,27 +203,27 @@
 		if x.step.Act != backend.StragglerWait {
 			d.counters.stragglers.Inc(1)
 			d.o.Timeline.Task(timeline.TaskStraggling, x.task.req.Ticket.Task, x.task.req.Worker, "straggler")
-			d.running.Go(func() { d.act(x.task, x.step.Act) })
+			d.running.Go(func() { d.applyAction(x.task, x.step.Act) })
 		}
 	}
 }
 
-// outgrow counts a task as long from now on, for its kind and for the slots of its worker.
-func (d *Dispatcher) outgrow(t *runningTask) {
-	d.counters.outgrown.Inc(1)
+// reclassify counts a running task as long work, for its kind and for the slots of its worker.
+func (d *Dispatcher) reclassify(t *runningTask) {
+	d.counters.reclassified.Inc(1)
 	d.o.Timeline.Task(timeline.TaskStraggling, t.req.Ticket.Task, t.req.Worker, "outgrew its class")
 	t.assignment.Item.Kind.Outgrow()
 	if d.tasks.markLong(t) && d.o.SlotOutgrown != nil {
-		d.o.SlotOutgrown(t.lane.service.Name(), t.req.Worker)
+		d.o.SlotOutgrown(t.scheduler.service.Name(), t.req.Worker)
 	}
 }
 
 func (d *Dispatcher) renew(t *runningTask) {
 	err := d.o.Control.Renew(d.ctx, t.req)
-	d.tasks.renewedAt(t, err == nil, d.o.Now())
+	d.tasks.finishRenewal(t, err == nil, d.o.Now())
 }
 
-func (d *Dispatcher) act(t *runningTask, action backend.StragglerAction) {
+func (d *Dispatcher) applyAction(t *runningTask, action backend.StragglerAction) {
 	reply, err := d.o.Control.Act(d.ctx, t.req, action)
 	if err != nil {
 		d.o.Logger.Debug("straggler action failed", "task", t.req.Ticket.Task, "worker", t.req.Worker, "error", err)
@@ -230,6 +233,6 @@
 		return
 	}
 	if slot, ok := d.tasks.release(t); ok {
-		d.carryOut(t.lane, t.lane.Leave(slot, d.accepts(slot.Worker), d.o.Now()))
+		d.execute(t.scheduler, t.scheduler.ReleaseOrReturn(slot, d.accepts(slot.Worker), d.o.Now()))
 	}
 }
--- a/dispatch/lane_test.go
+++ b/dispatch/scheduler_test.go
@@ -22,11 +22,11 @@
 
 var testSpeeds = map[machine.WorkerID]float64{"own-slow": 0.5, "own-fast": 2, "slow": 0.5, "fast": 2}
 
-func newTestLane(scarce *bool) *Lane {
+func newTestScheduler(scarce *bool) *Lane {
 	service := backend.NewService("test.v1.Work", []backend.KindSpec{{Name: "Short"}, {Name: "Long", Class: backend.ClassLong}})
-	return NewLane(service, customer.NewQueue(customer.NewTeams(false)), LaneOptions{
+	return NewScheduler(service, customer.NewQueue(customer.NewTeams(false)), SchedulerOptions{
 		Speed: func(w machine.WorkerID) float64 { return testSpeeds[w] },
-		Granter: func(w machine.WorkerID) string {
+		Allocator: func(w machine.WorkerID) string {
 			if w[:3] == "own" {
 				return testSelf
 			}
@@ -44,26 +44,26 @@
 	}
 }
 
-// laneModel carries out the plans of a lane and keeps its own account of slots and tasks.
-type laneModel struct {
+// schedulerModel carries out the plans of a scheduler and keeps its own count of slots and tasks.
+type schedulerModel struct {
 	t       *rapid.T
-	l       *Lane
+	sched   *Lane
 	now     time.Time
 	granted int
 	running []Assignment
 	waiting map[contract.TaskID]backend.Class
 	seq     int
-	// expires is the latest end of any grant.
+	// expires is the latest expiry of any grant.
 	expires time.Time
 }
 
-func (m *laneModel) carryOut(p Plan) {
+func (m *schedulerModel) carryOut(p Plan) {
 	for _, a := range p.Assignments {
 		class, ok := m.waiting[a.Item.Task]
 		require.True(m.t, ok, "task %v is started twice", a.Item.Task)
 		delete(m.waiting, a.Item.Task)
 		require.True(m.t, class == backend.ClassShort || a.Slot.Long, "long work on a slot for short work")
-		require.True(m.t, m.now.Add(startMargin).Before(m.expires), "start on a lapsed slot")
+		require.True(m.t, m.now.Add(startMargin).Before(m.expires), "start on an expired grant")
 		m.running = append(m.running, a)
 	}
 	for _, r := range p.Returns {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (m *laneModel) end() (contract.Slot, bool) {
+func (m *schedulerModel) takeRunning() (contract.Slot, bool) {
 	if len(m.running) == 0 {
 		return contract.Slot{}, false
 	}
@@ -81,7 +81,7 @@
 	return s, true
 }
 
-func (m *laneModel) push() {
+func (m *schedulerModel) push() {
 	class := backend.Class(rapid.IntRange(0, 1).Draw(m.t, "class"))
 	var items []customer.Item
 	for range rapid.IntRange(1, 6).Draw(m.t, "tasks") {
@@ -90,10 +90,10 @@
 		m.waiting[it.Task] = class
 		items = append(items, it)
 	}
-	m.carryOut(m.l.Push(items, m.now))
+	m.carryOut(m.sched.Push(items, m.now))
 }
 
-func (m *laneModel) grant() {
+func (m *schedulerModel) grant() {
 	var grants []contract.SlotGrant
 	for w := range testSpeeds {
 		g := contract.SlotGrant{Worker: w, TTL: zone.GrantTTL}
@@ -103,15 +103,15 @@
 		grants = append(grants, g)
 	}
 	m.expires = m.now.Add(zone.GrantTTL)
-	m.carryOut(m.l.AddGrants(grants, m.now))
+	m.carryOut(m.sched.AddGrants(grants, m.now))
 }
 
-func (m *laneModel) check() {
-	v := m.l.View()
+func (m *schedulerModel) check() {
+	v := m.sched.View()
 	require.Equal(m.t, len(m.running), v.Busy)
 	require.Equal(m.t, m.granted, v.Busy+v.Idle, "slots held are those granted and not returned")
 	held := 0
-	for _, h := range m.l.Held() {
+	for _, h := range m.sched.Held() {
 		held += h.Short + h.Long
 	}
 	require.Equal(m.t, m.granted, held)
@@ -125,71 +125,71 @@
 	}
 	require.Equal(m.t, short, v.Depth.Short)
 	require.Equal(m.t, long, v.Depth.Long)
-	require.False(m.t, short > 0 && v.Idle > 0, "a short task waits beside an idle slot")
-	require.False(m.t, long > 0 && m.l.holdings.IdleLong() > 0, "a long task waits beside an idle slot for long work")
-	require.True(m.t, m.l.Check())
+	require.False(m.t, short > 0 && v.Idle > 0, "a short task waits while a slot is idle")
+	require.False(m.t, long > 0 && m.sched.holdings.IdleLong() > 0, "a long task waits while a slot for long work is idle")
+	require.True(m.t, m.sched.Check())
 }
 
-// Guards the lane's account: no slot lost or used twice, no task started twice or on a slot of the wrong class, no usable
-// slot idle beside a waiting task, and nothing held when nothing waits or runs.
-func TestLaneProperties(t *testing.T) {
+// Guards against slots that are lost or used twice, tasks that are started twice or on a slot of the wrong class, usable
+// slots that stay idle while a task waits, and slots that are held while nothing waits or runs.
+func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scarce := rapid.Bool().Draw(t, "scarce")
-		m := &laneModel{
-			t: t, l: newTestLane(&scarce), now: time.Unix(1000, 0), waiting: make(map[contract.TaskID]backend.Class),
+		m := &schedulerModel{
+			t: t, sched: newTestScheduler(&scarce), now: time.Unix(1000, 0), waiting: make(map[contract.TaskID]backend.Class),
 		}
-		act := func(f func()) func(*rapid.T) { return func(t *rapid.T) { m.t = t; f() } }
+		action := func(f func()) func(*rapid.T) { return func(t *rapid.T) { m.t = t; f() } }
 		t.Repeat(map[string]func(*rapid.T){
-			"push":  act(m.push),
-			"grant": act(m.grant),
-			"release": act(func() {
-				if s, ok := m.end(); ok {
-					m.carryOut(m.l.Release(s, m.now))
+			"push":  action(m.push),
+			"grant": action(m.grant),
+			"release": action(func() {
+				if s, ok := m.takeRunning(); ok {
+					m.carryOut(m.sched.Release(s, m.now))
 				}
 			}),
-			"reject": act(func() {
-				if s, ok := m.end(); ok {
-					m.carryOut(m.l.Reject(s, true, m.now))
+			"reject": action(func() {
+				if s, ok := m.takeRunning(); ok {
+					m.carryOut(m.sched.Reject(s, true, m.now))
 				}
 			}),
-			"recall": act(func() {
+			"recall": action(func() {
 				wait := time.Duration(rapid.IntRange(0, 500).Draw(m.t, "wait")) * time.Millisecond
-				m.carryOut(m.l.Recall(testRemote, rapid.IntRange(1, 4).Draw(m.t, "slots"), wait, m.now))
+				m.carryOut(m.sched.Recall(testRemote, rapid.IntRange(1, 4).Draw(m.t, "slots"), wait, m.now))
 			}),
-			"renew": act(func() {
+			"renew": action(func() {
 				m.expires = m.now.Add(zone.GrantTTL)
-				m.l.Renew(m.expires, func(machine.WorkerID) bool { return true })
+				m.sched.Renew(m.expires, func(machine.WorkerID) bool { return true })
 			}),
-			"time": act(func() {
+			"time": action(func() {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(m.t, "ms")) * time.Millisecond)
-				m.carryOut(m.l.Tick(m.now))
+				m.carryOut(m.sched.Tick(m.now))
 			}),
-			"": act(m.check),
+			"": action(m.check),
 		})
 		m.t = t
 		for len(m.running) > 0 || len(m.waiting) > 0 {
-			if s, ok := m.end(); ok {
-				m.carryOut(m.l.Release(s, m.now))
+			if s, ok := m.takeRunning(); ok {
+				m.carryOut(m.sched.Release(s, m.now))
 			} else {
 				m.grant()
 				m.expires = m.now.Add(zone.GrantTTL)
 			}
 		}
-		m.now = m.now.Add(idleLinger)
-		m.carryOut(m.l.Tick(m.now))
+		m.now = m.now.Add(idleTimeout)
+		m.carryOut(m.sched.Tick(m.now))
 		require.Zero(t, m.granted, "slots are held while nothing waits")
 		m.check()
 	})
 }
 
-// Guards the choice of slot: the longest short task gets the fastest worker, long work the slowest.
-func TestLaneChoosesWorkers(t *testing.T) {
+// Guards against a wrong choice of slot: the longest short task has to get the fastest worker, long work the slowest.
+func TestSchedulerChoosesWorkers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := newTestLane(nil)
-	l.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
-	l.Push([]customer.Item{testItem(2, backend.ClassShort, 3*time.Second, now)}, now)
-	l.Push([]customer.Item{testItem(3, backend.ClassLong, 9*time.Second, now)}, now)
-	plan := l.AddGrants([]contract.SlotGrant{
+	sched := newTestScheduler(nil)
+	sched.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
+	sched.Push([]customer.Item{testItem(2, backend.ClassShort, 3*time.Second, now)}, now)
+	sched.Push([]customer.Item{testItem(3, backend.ClassLong, 9*time.Second, now)}, now)
+	plan := sched.AddGrants([]contract.SlotGrant{
 		{Worker: "slow", Short: 1, Long: 1, TTL: time.Minute}, {Worker: "fast", Short: 1, Long: 1, TTL: time.Minute},
 	}, now)
 	workers := make(map[uint64]machine.WorkerID)
@@ -200,53 +200,53 @@
 	require.Equal(t, uint64(2), plan.Assignments[1].Item.Task.Job.Seq, "the longest short task comes first")
 }
 
-// Guards against slots held by younger work while older work waits elsewhere, and against giving them to work that is
-// hardly older.
-func TestLaneRecall(t *testing.T) {
+// Guards against slots that serve newer work while older work waits on another entry VM, and against giving them up for
+// work that is hardly older.
+func TestSchedulerRecall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := newTestLane(nil)
+	sched := newTestScheduler(nil)
 	var items []customer.Item
 	for i := range 4 {
 		items = append(items, testItem(i+1, backend.ClassShort, time.Second, now))
 	}
-	l.Push(items, now)
-	plan := l.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 2, TTL: time.Minute}}, now)
+	sched.Push(items, now)
+	plan := sched.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 2, TTL: time.Minute}}, now)
 	require.Len(t, plan.Assignments, 2)
 	now = now.Add(100 * time.Millisecond)
-	l.Recall(testRemote, 1, 110*time.Millisecond, now)
-	kept := l.Release(plan.Assignments[0].Slot, now)
-	require.Empty(t, kept.Returns, "the demander's work is hardly older")
+	sched.Recall(testRemote, 1, 110*time.Millisecond, now)
+	kept := sched.Release(plan.Assignments[0].Slot, now)
+	require.Empty(t, kept.Returns, "the work of the requesting member is hardly older")
 	require.Len(t, kept.Assignments, 1)
-	l.Recall(testRemote, 1, 300*time.Millisecond, now)
-	returned := l.Release(plan.Assignments[1].Slot, now)
+	sched.Recall(testRemote, 1, 300*time.Millisecond, now)
+	returned := sched.Release(plan.Assignments[1].Slot, now)
 	require.Len(t, returned.Returns, 1)
 	require.Empty(t, returned.Assignments)
-	require.Empty(t, l.Release(kept.Assignments[0].Slot, now).Returns, "only as many as were recalled")
+	require.Empty(t, sched.Release(kept.Assignments[0].Slot, now).Returns, "only as many as were recalled")
 }
 
-// Guards against idle slots that are kept from others: own ones return at once, those of others' workers when they
-// have lingered, and sooner when free slots are scarce.
-func TestLaneReturnsIdleSlots(t *testing.T) {
+// Guards against idle slots that are withheld from other entry VMs: slots of own workers are returned at once, others
+// after the idle timeout, and sooner when free slots are scarce.
+func TestSchedulerReturnsIdleSlots(t *testing.T) {
 	now := time.Unix(1000, 0)
 	scarce := false
-	l := newTestLane(&scarce)
-	plan := l.AddGrants([]contract.SlotGrant{
+	sched := newTestScheduler(&scarce)
+	plan := sched.AddGrants([]contract.SlotGrant{
 		{Worker: "own-fast", Short: 1, TTL: time.Minute}, {Worker: "fast", Short: 1, TTL: time.Minute},
 	}, now)
 	require.Equal(t, []contract.SlotReturn{{Service: "test.v1.Work", Worker: "own-fast", Short: 1, Unused: 1}}, plan.Returns)
-	require.Empty(t, l.Tick(now.Add(idleLinger-time.Millisecond)).Returns)
-	require.Len(t, l.Tick(now.Add(idleLinger)).Returns, 1)
+	require.Empty(t, sched.Tick(now.Add(idleTimeout-time.Millisecond)).Returns)
+	require.Len(t, sched.Tick(now.Add(idleTimeout)).Returns, 1)
 	scarce = true
-	plan = l.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
+	plan = sched.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
 	require.Empty(t, plan.Returns, "a slot without a task yet waits for one")
-	require.Len(t, l.Tick(now.Add(unusedLinger)).Returns, 1)
-	l.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
-	plan = l.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
-	require.Len(t, l.Release(plan.Assignments[0].Slot, now).Returns, 1)
+	require.Len(t, sched.Tick(now.Add(unusedTimeout)).Returns, 1)
+	sched.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
+	plan = sched.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
+	require.Len(t, sched.Release(plan.Assignments[0].Slot, now).Returns, 1)
 }
 
-// Guards the baselines: never more starts on a worker than it has slots, a worker that refused is avoided for a while,
-// and the less loaded of two is chosen.
+// Guards against baseline policies that start more tasks on a worker than it has slots, choose a worker that has just
+// rejected a start, or choose the more loaded of two.
 func TestPlacement(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, policy := range []Policy{PolicyRandom, PolicyBestOfTwo} {
@@ -269,8 +269,8 @@
 		require.False(t, ok, "all slots are in use")
 		p.Reject("0", now)
 		_, ok = p.Choose("s", now)
-		require.False(t, ok, "the worker has just refused a start")
-		w, ok := p.Choose("s", now.Add(avoidFor))
+		require.False(t, ok, "the worker has just rejected a start")
+		w, ok := p.Choose("s", now.Add(avoidDuration))
 		require.True(t, ok)
 		require.Equal(t, machine.WorkerID("0"), w)
 		require.Equal(t, 10, p.InFlight("s"))
@@ -284,7 +284,7 @@
 	require.Nil(t, NewPlacement(PolicyDefault, 1))
 }
 
-// Guards the names that settings and workload files use.
+// Guards against changed policy names: settings and workload files use them.
 func TestParsePolicy(t *testing.T) {
 	for name, want := range map[string]Policy{
 		"": PolicyDefault, "default": PolicyDefault, "random": PolicyRandom, "best-of-two": PolicyBestOfTwo,
--- a/dispatch/timeline_bench_test.go
+++ b/dispatch/timeline_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// instantStarter ends each task at once, so that only the dispatcher's own work is measured.
+// instantStarter completes each task immediately, so that only the work of the dispatcher is measured.
 type instantStarter struct{}
 
 func (instantStarter) Start(context.Context, StartRequest) (StartReply, error) {
@@ -26,7 +26,7 @@
 	return StartReply{Outcome: contract.OutcomeDone}, nil
 }
 
-// BenchmarkStartPath compares the start path with and without the timeline, side by side.
+// BenchmarkStartPath compares the start path with and without the timeline in alternating runs.
 func BenchmarkStartPath(b *testing.B) {
 	for _, on := range []bool{true, false, true, false} {
 		name := "timeline-off"
@@ -71,7 +71,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(started), "ns/start")
 }
 
-// instantBroker grants what is asked for.
+// instantBroker grants every demand in full.
 type instantBroker struct {
 	d *Dispatcher
 }
