--- a/customer/admission.go
+++ b/customer/admission.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// waitMargin is the factor on the work ahead that covers the error of the expected wait: work of other customers arrives in
-	// bursts, and slots change hands.
+	// waitMargin is the factor on the work ahead that covers the error of the expected wait: work of other customers
+	// arrives in bursts, and slots move between entry VMs.
 	waitMargin = 1.5
-	// shortestRetry and longestRetry bound the hint after which time a refused job may be submitted again.
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the hint after which a refused job may be submitted again.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// Due is waiting work by the start of the interval in which its deadline lies.
+// Due is the waiting work whose deadlines lie in the interval that begins at By.
 type Due struct {
 	By   time.Time
 	Work time.Duration
 }
 
-// Backlog is the waiting work ahead of a job: all of its class, that of its customer and that of its team, and the
-// competition of the customer with the others and of the team with the customer's other teams.
+// Backlog is the waiting work ahead of a job: all work of its class, that of its customer and that of its team. It
+// includes the competition of the customer with other customers and of the team with the customer's other teams.
 type Backlog struct {
 	Work         time.Duration
 	CustomerWork time.Duration
 	Customer     Competition
 	Team         Competition
-	// Due is the team's work by deadline, in order.
+	// Due is the team's work in order of deadline.
 	Due []Due
 }
 
-// Competition is what limits the slots of a flow: its share among the flows that wait, and the slots that other flows
-// have taken of late, those without waiting work apart.
+// Competition limits the slots of a flow. Share is its weighted share among the flows with waiting work; Backlogged and
+// NonBacklogged are the slots recently used by other flows with and without waiting work.
 type Competition struct {
-	Share   float64
-	Waiting float64
-	Passing float64
+	Share         float64
+	Backlogged    float64
+	NonBacklogged float64
 }
 
-// slots returns what the flow gets of the slots: its share of those that passing work leaves, or what all others have
-// left of late if that is more.
+// slots returns the slots that the flow can expect: its share of those not used by non-backlogged flows, or the slots
+// that all other flows have recently left unused if these are more.
 func (c Competition) slots(slots float64) float64 {
-	rest := slots - c.Passing
-	return max(0, c.Share*rest, rest-c.Waiting)
+	rest := slots - c.NonBacklogged
+	return max(0, c.Share*rest, rest-c.Backlogged)
 }
 
-// Load is a job to be admitted.
+// Load is the work of a job to be admitted.
 type Load struct {
 	Work time.Duration
-	// Typical is the mean run time of its tasks, Longest a bound that the longest of them rarely exceeds on any worker.
+	// Typical is the mean run time of the job's tasks. Longest is a bound that the longest task rarely exceeds on any
+	// worker.
 	Typical  time.Duration
 	Longest  time.Duration
 	Deadline time.Time
@@ -75,22 +76,22 @@
 	customerWeight, teamWeight := q.teams.Weights(k.Customer, k.Team)
 	b := Backlog{Work: c.totals.Work, Customer: Competition{Share: 1}, Team: Competition{Share: 1}}
 	waiting := customerWeight
-	for name, o := range c.customers {
+	for name, cf := range c.customers {
 		if name != k.Customer {
-			b.Customer.add(&o.rate, o.tasks, q.now)
+			b.Customer.add(&cf.rate, cf.tasks, q.now)
 		}
-		if name != k.Customer && o.tasks > 0 {
-			waiting += o.weight
+		if name != k.Customer && cf.tasks > 0 {
+			waiting += cf.weight
 		}
 	}
 	b.Customer.Share = customerWeight / waiting
-	o := c.customers[k.Customer]
-	if o == nil {
+	cf := c.customers[k.Customer]
+	if cf == nil {
 		return b
 	}
-	b.CustomerWork = o.work
+	b.CustomerWork = cf.work
 	waiting = teamWeight
-	for name, f := range o.teams {
+	for name, f := range cf.teams {
 		if name != k.Team {
 			b.Team.add(&f.rate, f.tasks, q.now)
 		}
@@ -99,7 +100,7 @@
 		}
 	}
 	b.Team.Share = teamWeight / waiting
-	if f := o.teams[k.Team]; f != nil {
+	if f := cf.teams[k.Team]; f != nil {
 		b.Due = f.due.list()
 	}
 	return b
@@ -107,38 +108,38 @@
 
 func (c *Competition) add(rate *meter, tasks int, now time.Time) {
 	if tasks > 0 {
-		c.Waiting += rate.at(now)
+		c.Backlogged += rate.at(now)
 	} else {
-		c.Passing += rate.at(now)
+		c.NonBacklogged += rate.at(now)
 	}
 }
 
 func (p dueProfile) list() []Due {
 	out := make([]Due, 0, len(p))
 	for g, work := range p {
-		out = append(out, Due{By: time.Unix(0, g*int64(deadlineGrain)), Work: work})
+		out = append(out, Due{By: time.Unix(0, g*int64(deadlineResolution)), Work: work})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].By.Before(out[j].By) })
 	return out
 }
 
-// Admit decides whether a job can be answered within its deadline by slots that do the given amount of work per
-// second. Its customer gets its share of them, or what the others have left of late if that is more: a customer that
-// waits behind the whole queue would otherwise be promised slots which the others keep taking. If all work of the
-// customer cannot be started in time, the job may still overtake work of its team with later deadlines, provided that
-// this work still meets them. There is no state besides the queue, so that admission follows a crest and its end at
-// once and cannot oscillate.
+// Admit decides whether a job can be completed before its deadline; slots is the amount of work that the slots do per
+// second. The customer is assumed to get its share of the slots, or those that the others have recently left unused if
+// these are more: without this limit, a customer waiting behind the whole queue would be promised slots that the others
+// continue to use. If not all work of the customer can be started before the deadline, the job may still overtake work
+// of its team with later deadlines, provided that this work still meets them. There is no state besides the queue, so
+// admission follows the start and end of a peak at once and cannot oscillate.
 func Admit(b Backlog, l Load, slots float64, now time.Time) Verdict {
 	remaining := l.Deadline.Sub(now)
-	// A kind with a few very long runs must not have its jobs refused while nothing waits.
+	// The jobs of a kind with a few very long runs must not be refused while nothing waits.
 	l.Longest = max(l.Typical, min(l.Longest, remaining/2))
 	allowed := remaining - l.Longest
 	if b.Work > 0 {
-		// While tasks wait all slots are busy, on average with half of a task before them.
+		// While tasks wait, all slots are busy with tasks that have half of their run time left on average.
 		allowed -= l.Typical / 2
 	}
 	if slots <= 0 {
-		return refuse(longestRetry, allowed)
+		return refuse(maxRetryAfter, allowed)
 	}
 	rest := max(0, l.Work-l.Typical)
 	mine := b.Customer.slots(slots)
@@ -146,15 +147,15 @@
 	if own <= allowed {
 		return Verdict{Admit: true, Wait: own}
 	}
-	team, harmless := b.teamWait(l, rest, b.Team.slots(mine), now)
-	if harmless && team <= allowed {
+	team, laterMet := b.teamWait(l, rest, b.Team.slots(mine), now)
+	if laterMet && team <= allowed {
 		return Verdict{Admit: true, Wait: team}
 	}
 	return refuse(min(own, team), allowed)
 }
 
-// teamWait returns the wait behind the team's work with an earlier deadline, and whether the later work still meets
-// its deadlines.
+// teamWait returns the wait behind the team's work with no later deadline, and whether the team's work with later
+// deadlines still meets them.
 func (b Backlog) teamWait(l Load, rest time.Duration, slots float64, now time.Time) (time.Duration, bool) {
 	ahead := time.Duration(0)
 	for _, d := range b.Due {
@@ -175,7 +176,7 @@
 	return wait(ahead, rest, slots), true
 }
 
-// wait returns the expected time until the work ahead and the job's own work have been started.
+// wait returns the expected time until the work ahead and the job's own work have been started by the given slots.
 func wait(ahead, own time.Duration, slots float64) time.Duration {
 	if ahead+own <= 0 {
 		return 0
@@ -184,6 +185,6 @@
 }
 
 func refuse(expected, allowed time.Duration) Verdict {
-	hint := min(longestRetry, max(shortestRetry, expected-max(0, allowed)))
+	hint := min(maxRetryAfter, max(minRetryAfter, expected-max(0, allowed)))
 	return Verdict{Wait: expected, RetryAfter: hint}
 }
--- a/customer/admission_test.go
+++ b/customer/admission_test.go
@@ -9,38 +9,38 @@
 	"pgregory.net/rapid"
 )
 
-// oneSecond is a job of five tasks.
-func oneSecond(deadline time.Time) Load {
+// fiveTaskJob returns the load of a job with five tasks and one second of work in all.
+func fiveTaskJob(deadline time.Time) Load {
 	const task = 200 * time.Millisecond
 	return Load{Work: 5 * task, Typical: task, Longest: task, Deadline: deadline}
 }
 
-func steady(time.Duration) float64 { return 1 }
+func constantDemand(time.Duration) float64 { return 1 }
 
-// figures are the answered and the late tasks of a simulation, the share of the time in which the slots were busy, and
-// the time of the last refusal.
-type figures struct {
+// simResult holds the numbers of tasks that ended before and after their deadline, the share of the time in
+// which the slots were busy, and the time of the last refusal.
+type simResult struct {
 	served, late, busy float64
 	refused            time.Duration
 }
 
-// crest runs admission and a fluid server with the given slots for 20 s against demands, one for each customer, that
-// change by the given factor over time. It is a function of time without any clock.
-func crest(demands []float64, slots int, deadline time.Duration, factor func(time.Duration) float64) figures {
+// simulate runs admission and a server with the given slots against the demands of several customers for 20 s of
+// simulated time. The demands are relative to the capacity and are multiplied by factor over time.
+func simulate(demands []float64, slots int, deadline time.Duration, factor func(time.Duration) float64) simResult {
 	const step, steps = 10 * time.Millisecond, 2000
-	var f figures
+	var f simResult
 	q := NewQueue(NewTeams(false))
 	now, job := epoch, 0
-	owed := make([]float64, len(demands))
+	due := make([]float64, len(demands))
 	free := make([]time.Time, slots)
 	for range steps {
 		now = now.Add(step)
 		q.Advance(now)
 		for n, demand := range demands {
 			who := string(rune('a' + n))
-			for owed[n] += demand * factor(now.Sub(epoch)) * float64(slots) * step.Seconds() / 0.2; owed[n] >= 5; owed[n] -= 5 {
+			for due[n] += demand * factor(now.Sub(epoch)) * float64(slots) * step.Seconds() / 0.2; due[n] >= 5; due[n] -= 5 {
 				job++
-				load := oneSecond(now.Add(deadline))
+				load := fiveTaskJob(now.Add(deadline))
 				if !Admit(q.Backlog(TeamKey{who, "t"}, 0), load, float64(slots), now).Admit {
 					f.refused = now.Sub(epoch)
 					continue
@@ -74,9 +74,10 @@
 	return f
 }
 
-// Guards against work that is accepted and answered too late, and against refusals that leave slots idle at a crest,
-// also when one customer has most of the demand. The bounds are those of section 1.3 of the design page.
-func TestAdmissionAtTheCrest(t *testing.T) {
+// Guards against work that is accepted and then completed after its deadline, and against refusals that leave slots
+// idle at peak load, also when one customer has most of the demand. The bounds are those of section 1.3 of the design
+// page.
+func TestAdmissionAtPeakLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// An entry VM has about 50 slots today and 187 at the target scale.
 		slots := rapid.IntRange(20, 187).Draw(t, "slots")
@@ -88,7 +89,7 @@
 			demands[0] -= part
 			demands = append(demands, part)
 		}
-		f := crest(demands, slots, deadline, steady)
+		f := simulate(demands, slots, deadline, constantDemand)
 		require.GreaterOrEqual(t, f.busy, 0.95)
 		require.GreaterOrEqual(t, f.served/(f.served+f.late), 0.97)
 	})
@@ -98,7 +99,7 @@
 func TestNoRefusalBelowCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(10, 60).Draw(t, "slots")
-		f := crest([]float64{0.7}, slots, 3*time.Second, steady)
+		f := simulate([]float64{0.7}, slots, 3*time.Second, constantDemand)
 		want := float64(int(0.7*float64(slots)*20/0.2/5)) * 5
 		require.Zero(t, f.late)
 		require.Zero(t, f.refused)
@@ -107,13 +108,13 @@
 	})
 }
 
-// Guards against refusals that go on, or come back, after a crest. The bound is that of section 1.3 of the design page.
-func TestRecoveryAfterTheCrest(t *testing.T) {
+// Guards against refusals that continue or recur after a load peak. The bound is from section 1.3 of the design page.
+func TestRecoveryAfterPeakLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(20, 187).Draw(t, "slots")
-		height := rapid.Float64Range(1.2, 4).Draw(t, "crest")
+		height := rapid.Float64Range(1.2, 4).Draw(t, "peak")
 		const end = 10 * time.Second
-		f := crest([]float64{1}, slots, 3*time.Second, func(at time.Duration) float64 {
+		f := simulate([]float64{1}, slots, 3*time.Second, func(at time.Duration) float64 {
 			if at < end {
 				return height
 			}
@@ -123,32 +124,32 @@
 	})
 }
 
-// Guards against a flood of one customer that has another's jobs refused.
+// Guards against refusing the jobs of one customer because another one floods the queue.
 func TestFloodDoesNotRefuseOthers(t *testing.T) {
 	q := NewQueue(NewTeams(false))
 	for job := 1; job <= 100; job++ {
 		q.Push(tasks(job, 50, "flood", "t", 200*time.Millisecond))
 	}
-	load := oneSecond(epoch.Add(3 * time.Second))
+	load := fiveTaskJob(epoch.Add(3 * time.Second))
 	require.False(t, Admit(q.Backlog(TeamKey{"flood", "t"}, 0), load, 10, epoch).Admit)
 	require.True(t, Admit(q.Backlog(TeamKey{"calm", "t"}, 0), load, 10, epoch).Admit)
 }
 
-// Guards against jobs of a kind with a few very long runs that are refused although nothing waits, and against jobs that
-// are accepted although already a usual run takes too long.
-func TestLongTailIsNoReasonToRefuse(t *testing.T) {
+// Guards against refusing jobs of a kind with a few very long runs although nothing waits, and against accepting jobs
+// whose typical run time exceeds the deadline.
+func TestLongTailIsNotRefused(t *testing.T) {
 	q := NewQueue(NewTeams(false))
-	l := oneSecond(epoch.Add(3 * time.Second))
+	l := fiveTaskJob(epoch.Add(3 * time.Second))
 	l.Longest = 10 * time.Second
 	require.True(t, Admit(q.Backlog(TeamKey{"a", "t"}, 0), l, 10, epoch).Admit)
 	l.Typical = 4 * time.Second
 	require.False(t, Admit(q.Backlog(TeamKey{"a", "t"}, 0), l, 10, epoch).Admit)
 }
 
-// Guards against an urgent job that is refused although it would be served before the rest of its team's work, and
-// against one that makes accepted jobs late.
+// Guards against refusing an urgent job that would be served before the rest of its team's work, and against accepting
+// one that makes accepted jobs miss their deadlines.
 func TestUrgentJobOvertakesWithinItsTeam(t *testing.T) {
-	urgent := oneSecond(epoch.Add(time.Second))
+	urgent := fiveTaskJob(epoch.Add(time.Second))
 	q := NewQueue(NewTeams(false))
 	q.Push(tasks(1, 100, "a", "t", 200*time.Millisecond))
 	require.True(t, Admit(q.Backlog(TeamKey{"a", "t"}, 0), urgent, 10, epoch).Admit)
@@ -158,8 +159,8 @@
 	require.Positive(t, v.RetryAfter)
 }
 
-// Guards against shares that go back and forth or that exceed what the planner can use.
-func TestQuotaToGiveSettles(t *testing.T) {
+// Guards against quota shares that oscillate, become negative or leave a demand unmet that the quota covers.
+func TestQuotaToGiveConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) int { return rapid.IntRange(0, 100).Draw(t, label) }
 		a, b := QuotaNeed{Held: draw("held a"), Demand: draw("a")}, QuotaNeed{Held: draw("held b"), Demand: draw("b")}
@@ -167,7 +168,7 @@
 		moves := 0
 		for moves <= 40 {
 			toB, toA := QuotaToGive(a, b), QuotaToGive(b, a)
-			require.True(t, toA == 0 || toB == 0, "both would give")
+			require.True(t, toA == 0 || toB == 0, "both sides would transfer quota")
 			if toA+toB == 0 {
 				break
 			}
@@ -189,6 +190,6 @@
 		q.Pop(false)
 	}
 	for b.Loop() {
-		Admit(q.Backlog(TeamKey{"0", "t"}, 0), oneSecond(epoch.Add(time.Second)), 187, epoch)
+		Admit(q.Backlog(TeamKey{"0", "t"}, 0), fiveTaskJob(epoch.Add(time.Second)), 187, epoch)
 	}
 }
--- a/customer/doc.go
+++ b/customer/doc.go
@@ -1,2 +1,3 @@
-// Package customer models customers and their teams: their shares of the capacity and the order of their work.
+// Package customer models customers and their teams: admission, fair sharing of the capacity, quotas and the order of
+// their waiting tasks.
 package customer
--- a/customer/example_test.go
+++ b/customer/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/customer"
 )
 
-// A customer that floods the queue does not make the next one wait behind all of its tasks.
+// A customer that floods the queue does not delay the tasks of another customer behind all of its own.
 func ExampleQueue() {
 	now := time.Unix(0, 0)
 	q := customer.NewQueue(customer.NewTeams(false))
--- a/customer/flow.go
+++ b/customer/flow.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// longFloor is the share of the slot time that long work gets while slots admit it and short work waits as well.
-	// Without it a crest of short work would hold accepted long work past every deadline.
+	// longFloor is the minimum share of the slot time of long work while short work waits as well and slots for long
+	// work are available. Without it, a peak of short work would delay accepted long work past every deadline.
 	longFloor = 0.1
-	// idleFlows is the number of flows without work that are kept before they are looked through.
-	idleFlows = 64
+	// evictionThreshold is the number of flows, plus two for each ready flow, below which idle flows are kept.
+	evictionThreshold = 64
 )
 
 // classQueue holds the waiting tasks of one class.
@@ -21,15 +21,15 @@
 	class     backend.Class
 	customers map[string]*customerFlow
 	jobs      map[contract.JobID]*jobEntry
-	// ready holds the customers with a team that may start a task. overQuota lists teams that wait for a slot of
-	// their quota, overRate teams that wait for a token.
+	// ready holds the customers with a team that may start a task, overQuota the teams that wait for a slot of their
+	// quota, and overRate the teams that wait for a token.
 	ready     indexedHeap[*customerFlow]
 	overQuota *list.List
 	overRate  indexedHeap[*teamFlow]
 	virtual   float64
-	// last is the highest virtual time of a customer; virtual catches up with it when nothing waits.
-	last float64
-	// served is the virtual time of the class against the other one.
+	// maxVirtual is the highest virtual time of any customer; virtual is advanced to it when nothing waits.
+	maxVirtual float64
+	// served is the virtual time of the class, which is compared with that of the other class.
 	served float64
 	totals Totals
 	// parked is the number of tasks of the teams in overQuota.
@@ -42,24 +42,24 @@
 	Tasks int
 	Bytes int
 	Work  time.Duration
-	// Startable is the number of tasks that the quotas let start now.
+	// Startable is the number of tasks that may start now within the quotas.
 	Startable int
 }
 
-// customerFlow is the waiting work of one customer within a class. Its virtual time grows by the work started
-// divided by the customer's weight; the flow with the smallest one is served next.
+// customerFlow is the waiting work of one customer within a class. Its virtual time advances by the started work
+// divided by the customer's weight; the flow with the smallest virtual time is served next.
 type customerFlow struct {
-	name        string
-	weight      float64
-	virtual     float64
-	teamVirtual float64
-	teamLast    float64
-	index       int
-	teams       map[string]*teamFlow
-	ready       indexedHeap[*teamFlow]
-	tasks       int
-	work        time.Duration
-	rate        meter
+	name           string
+	weight         float64
+	virtual        float64
+	teamVirtual    float64
+	maxTeamVirtual float64
+	index          int
+	teams          map[string]*teamFlow
+	ready          indexedHeap[*teamFlow]
+	tasks          int
+	work           time.Duration
+	rate           meter
 }
 
 type flowState uint8
@@ -74,7 +74,7 @@
 // teamFlow is the waiting work of one team within a class.
 type teamFlow struct {
 	key       TeamKey
-	owner     *customerFlow
+	customer  *customerFlow
 	weight    float64
 	virtual   float64
 	state     flowState
@@ -93,20 +93,20 @@
 
 func (f *teamFlow) position() *int { return &f.index }
 
-// forgetIdle drops flows that are indistinguishable from new ones, so that names made up by callers do not pile up.
-func (c *classQueue) forgetIdle() {
-	if len(c.customers) < idleFlows+2*len(c.ready.items) {
+// evictIdle removes flows that are indistinguishable from new ones, so that names invented by callers cannot pile up.
+func (c *classQueue) evictIdle() {
+	if len(c.customers) < evictionThreshold+2*len(c.ready.items) {
 		return
 	}
-	for name, o := range c.customers {
-		if o.tasks == 0 && o.virtual <= c.virtual {
+	for name, cf := range c.customers {
+		if cf.tasks == 0 && cf.virtual <= c.virtual {
 			delete(c.customers, name)
 		}
 	}
 }
 
-func (f *customerFlow) forgetIdle() {
-	if len(f.teams) < idleFlows+2*len(f.ready.items) {
+func (f *customerFlow) evictIdle() {
+	if len(f.teams) < evictionThreshold+2*len(f.ready.items) {
 		return
 	}
 	for name, t := range f.teams {
@@ -116,48 +116,48 @@
 	}
 }
 
-// count adds n tasks like it (1 or -1) to all sums.
+// count adds the task n times (1 or -1) to all sums.
 func (c *classQueue) count(f *teamFlow, it *Item, n int) {
 	work := time.Duration(n) * it.Expected
-	o := f.owner
-	if o.tasks == 0 {
-		// An idle flow gets no credit for the time in which it asked for nothing.
-		o.virtual = max(o.virtual, c.virtual)
+	cf := f.customer
+	if cf.tasks == 0 {
+		// An idle flow earns no credit while it has no waiting work.
+		cf.virtual = max(cf.virtual, c.virtual)
 	}
 	if f.tasks == 0 {
-		f.virtual = max(f.virtual, o.teamVirtual)
+		f.virtual = max(f.virtual, cf.teamVirtual)
 	}
 	c.totals.Tasks += n
 	c.totals.Bytes += n * it.Bytes
 	c.totals.Work += work
-	o.tasks += n
-	o.work += work
+	cf.tasks += n
+	cf.work += work
 	f.tasks += n
 	f.work += work
 	f.due.add(it.Deadline, work)
 	if f.state == flowOverQuota {
 		c.parked += n
 	}
-	if o.tasks == 0 {
-		o.teamVirtual = max(o.teamVirtual, o.teamLast)
+	if cf.tasks == 0 {
+		cf.teamVirtual = max(cf.teamVirtual, cf.maxTeamVirtual)
 	}
 	if c.totals.Tasks == 0 {
-		c.virtual = max(c.virtual, c.last)
+		c.virtual = max(c.virtual, c.maxVirtual)
 	}
 }
 
-// place changes the state of a flow.
-func (c *classQueue) place(f *teamFlow, s flowState) {
+// setState changes the state of a flow and moves it to the structure that holds the flows of that state.
+func (c *classQueue) setState(f *teamFlow, s flowState) {
 	if f.state == s {
 		return
 	}
-	c.leave(f)
+	c.leaveState(f)
 	f.state = s
 	switch s {
 	case flowReady:
-		f.owner.ready.push(f)
-		if f.owner.index == notQueued {
-			c.ready.push(f.owner)
+		f.customer.ready.push(f)
+		if f.customer.index == notQueued {
+			c.ready.push(f.customer)
 		}
 	case flowOverQuota:
 		f.parkedAt = c.overQuota.PushBack(f)
@@ -167,12 +167,12 @@
 	}
 }
 
-func (c *classQueue) leave(f *teamFlow) {
+func (c *classQueue) leaveState(f *teamFlow) {
 	switch f.state {
 	case flowReady:
-		f.owner.ready.remove(f)
-		if f.owner.ready.empty() {
-			c.ready.remove(f.owner)
+		f.customer.ready.remove(f)
+		if f.customer.ready.empty() {
+			c.ready.remove(f.customer)
 		}
 	case flowOverQuota:
 		c.overQuota.Remove(f.parkedAt)
@@ -184,23 +184,23 @@
 }
 
 func (c *classQueue) lookup(k TeamKey) *teamFlow {
-	o, ok := c.customers[k.Customer]
+	cf, ok := c.customers[k.Customer]
 	if !ok {
 		return nil
 	}
-	return o.teams[k.Team]
+	return cf.teams[k.Team]
 }
 
-// charge adds work in seconds to the virtual times of a flow.
+// charge adds work in seconds to the virtual times of a flow, its customer and its class.
 func (c *classQueue) charge(f *teamFlow, work float64) {
 	f.virtual += work / f.weight
-	f.owner.virtual += work / f.owner.weight
-	f.owner.teamLast = max(f.owner.teamLast, f.virtual)
-	c.last = max(c.last, f.owner.virtual)
+	f.customer.virtual += work / f.customer.weight
+	f.customer.maxTeamVirtual = max(f.customer.maxTeamVirtual, f.virtual)
+	c.maxVirtual = max(c.maxVirtual, f.customer.virtual)
 	if f.state == flowReady {
-		f.owner.ready.fix(f)
+		f.customer.ready.fix(f)
 	}
-	c.ready.fix(f.owner)
+	c.ready.fix(f.customer)
 	weight := 1 - longFloor
 	if c.class == backend.ClassLong {
 		weight = longFloor
--- a/customer/heap.go
+++ b/customer/heap.go
@@ -22,7 +22,7 @@
 	h.up(len(h.items) - 1)
 }
 
-// remove takes v out; an element that is not queued stays so.
+// remove removes v, which need not be queued.
 func (h *indexedHeap[T]) remove(v T) {
 	i := *v.position()
 	if i == notQueued {
@@ -40,7 +40,7 @@
 	}
 }
 
-// fix restores the order after v has changed.
+// fix restores the heap order after v has changed.
 func (h *indexedHeap[T]) fix(v T) {
 	i := *v.position()
 	if i == notQueued {
--- a/customer/job.go
+++ b/customer/job.go
@@ -7,9 +7,9 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// deadlineGrain is the resolution in which deadlines are compared. Within it, the job with fewer waiting tasks goes
-// first, so that the last tasks of a nearly finished job do not wait behind a new large one.
-const deadlineGrain = 500 * time.Millisecond
+// deadlineResolution is the resolution at which deadlines are compared. Among equal deadlines the job with fewer
+// waiting tasks goes first, so that the last tasks of a nearly finished job do not wait behind a new large one.
+const deadlineResolution = 500 * time.Millisecond
 
 // jobEntry holds the waiting tasks of a job within a team and class.
 type jobEntry struct {
@@ -19,8 +19,8 @@
 	priority int
 	due      int64
 	arrived  time.Time
-	// items are ordered by expected run time. The longest, which decides when the job ends, comes last and is taken
-	// first.
+	// items are sorted by expected run time if sorted is set. The longest task, which determines when the job
+	// completes, is the last item and is taken first.
 	items  []Item
 	sorted bool
 }
@@ -29,13 +29,13 @@
 
 func newJobEntry(f *teamFlow, first *Item) *jobEntry {
 	return &jobEntry{
-		id: first.Task.Job, flow: f, index: notQueued, priority: first.Priority, due: dueGrain(first.Deadline),
+		id: first.Task.Job, flow: f, index: notQueued, priority: first.Priority, due: deadlineBucket(first.Deadline),
 		arrived: first.Enqueued,
 	}
 }
 
-// dueGrain numbers the grains of deadlines.
-func dueGrain(deadline time.Time) int64 { return deadline.UnixNano() / int64(deadlineGrain) }
+// deadlineBucket returns the number of the interval of length deadlineResolution that contains the deadline.
+func deadlineBucket(deadline time.Time) int64 { return deadline.UnixNano() / int64(deadlineResolution) }
 
 func precedes(a, b *jobEntry) bool {
 	if a.priority != b.priority {
@@ -72,13 +72,13 @@
 	j.sorted = true
 }
 
-// peek returns the task to take next.
+// peek returns the next task without removing it.
 func (j *jobEntry) peek() *Item {
 	j.sort()
 	return &j.items[len(j.items)-1]
 }
 
-// next removes the task to take next.
+// next removes and returns the next task.
 func (j *jobEntry) next() Item {
 	it := *j.peek()
 	last := len(j.items) - 1
@@ -100,15 +100,15 @@
 		it.Deadline = deadline
 	}
 	if !deadline.IsZero() {
-		j.due = dueGrain(deadline)
+		j.due = deadlineBucket(deadline)
 	}
 }
 
-// dueProfile is the waiting work of a team by the grain of its deadline.
+// dueProfile is the waiting work of a team by the bucket of its deadline.
 type dueProfile map[int64]time.Duration
 
 func (p dueProfile) add(deadline time.Time, work time.Duration) {
-	g := dueGrain(deadline)
+	g := deadlineBucket(deadline)
 	p[g] += work
 	if p[g] <= 0 {
 		delete(p, g)
--- a/customer/queue.go
+++ b/customer/queue.go
@@ -22,16 +22,16 @@
 	Priority int
 	Expected time.Duration
 	Bytes    int
-	// Attempts counts the rejected starts.
+	// Attempts is the number of rejected starts.
 	Attempts int
-	// Charged says that the task holds a part of its team's quota, from Pop until Finished or Returned.
+	// Charged is set while the task uses its team's quota, from Pop until Finished or Refund.
 	Charged bool
 }
 
 func (it *Item) teamKey() TeamKey { return TeamKey{Customer: it.Customer, Team: it.Team} }
 
-// Queue orders the waiting tasks of one service: by virtual time between customers, then between the teams of a
-// customer; within a team by job. Its mutex guards all fields.
+// Queue orders the waiting tasks of one service by weighted fair queueing: by virtual time among customers, then among
+// the teams of a customer; within a team by job. mu guards the fields below it.
 type Queue struct {
 	teams *Teams
 
@@ -40,7 +40,7 @@
 	classes [2]classQueue
 }
 
-// NewQueue returns an empty queue that asks teams for weights and quotas.
+// NewQueue returns an empty queue that uses the weights and quotas of teams.
 func NewQueue(teams *Teams) *Queue {
 	q := &Queue{teams: teams}
 	for i := range q.classes {
@@ -55,7 +55,7 @@
 	return q
 }
 
-// Push adds tasks, each with the class stated in it.
+// Push adds tasks, each to the class set in it.
 func (q *Queue) Push(items []Item) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// sameEntry reports whether two tasks wait in the same entry.
+// sameEntry reports whether two tasks belong to the same jobEntry.
 func sameEntry(a, b *Item) bool { return a.Task.Job == b.Task.Job && a.Class == b.Class }
 
 // push adds tasks of one job and class. It expects q.mu to be held.
@@ -78,7 +78,7 @@
 	first := &items[0]
 	c := &q.classes[first.Class]
 	if c.totals.Tasks == 0 {
-		// An idle class gets no credit for the time in which nothing of it waited.
+		// An idle class earns no credit while it has no waiting work.
 		c.served = max(c.served, q.classes[1-first.Class].served)
 	}
 	j, ok := c.jobs[first.Task.Job]
@@ -94,71 +94,71 @@
 		c.count(j.flow, &items[i], 1)
 	}
 	j.flow.jobs.fix(j)
-	q.settle(c, j.flow)
+	q.refresh(c, j.flow)
 }
 
-// flow returns the flow of a team, a new one if needed.
+// flow returns the flow of a team and creates it if needed.
 func (q *Queue) flow(c *classQueue, k TeamKey) *teamFlow {
 	k = q.teams.Flow(k)
 	cw, tw := q.teams.Weights(k.Customer, k.Team)
-	o, ok := c.customers[k.Customer]
+	cf, ok := c.customers[k.Customer]
 	if !ok {
-		c.forgetIdle()
-		o = &customerFlow{name: k.Customer, weight: cw, index: notQueued, teams: make(map[string]*teamFlow)}
-		o.ready.less = func(a, b *teamFlow) bool { return a.virtual < b.virtual }
-		c.customers[k.Customer] = o
+		c.evictIdle()
+		cf = &customerFlow{name: k.Customer, weight: cw, index: notQueued, teams: make(map[string]*teamFlow)}
+		cf.ready.less = func(a, b *teamFlow) bool { return a.virtual < b.virtual }
+		c.customers[k.Customer] = cf
 	}
-	f, ok := o.teams[k.Team]
+	f, ok := cf.teams[k.Team]
 	if !ok {
-		o.forgetIdle()
-		f = &teamFlow{key: k, owner: o, weight: tw, index: notQueued, due: make(dueProfile)}
+		cf.evictIdle()
+		f = &teamFlow{key: k, customer: cf, weight: tw, index: notQueued, due: make(dueProfile)}
 		f.jobs.less = precedes
-		o.teams[k.Team] = f
+		cf.teams[k.Team] = f
 	}
 	return f
 }
 
-// settle moves a flow to the place that its work and its quota call for, and counts what it may start.
-func (q *Queue) settle(c *classQueue, f *teamFlow) {
+// refresh updates the state of a flow from its waiting work and its quota, and the number of tasks that it may start.
+func (q *Queue) refresh(c *classQueue, f *teamFlow) {
 	switch {
 	case f.tasks == 0:
-		c.place(f, flowIdle)
+		c.setState(f, flowIdle)
 	case f.state == flowIdle:
-		c.place(f, flowReady)
+		c.setState(f, flowReady)
 	}
 	startable := 0
 	if f.state == flowReady {
-		startable = q.bound(c, f)
+		startable = q.checkQuota(c, f)
 	}
 	c.totals.Startable += startable - f.startable
 	f.startable = startable
 }
 
-// bound returns how many tasks of a ready flow its quota lets start, and sets the flow aside if there are none.
-func (q *Queue) bound(c *classQueue, f *teamFlow) int {
-	room, retry, limited := q.teams.Room(f.key, f.tasks, q.now)
+// checkQuota returns how many tasks of a ready flow may start within its quota, and parks the flow if there are none.
+func (q *Queue) checkQuota(c *classQueue, f *teamFlow) int {
+	allowed, retry, limited := q.teams.Startable(f.key, f.tasks, q.now)
 	switch {
 	case !limited:
 		return f.tasks
-	case room > 0:
-		return min(f.tasks, room)
+	case allowed > 0:
+		return min(f.tasks, allowed)
 	case retry.IsZero():
-		c.place(f, flowOverQuota)
+		c.setState(f, flowOverQuota)
 	default:
 		f.retry = retry
-		c.place(f, flowOverRate)
+		c.setState(f, flowOverRate)
 	}
 	return 0
 }
 
-// Advance sets the time from which rates are computed and makes teams ready whose next token is due.
+// Advance sets the time at which rates are computed and makes teams ready whose next token is available.
 func (q *Queue) Advance(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.advance(now)
 }
 
-// advance expects q.mu to be held.
+// advance implements Advance. It expects q.mu to be held.
 func (q *Queue) advance(now time.Time) {
 	if now.After(q.now) {
 		q.now = now
@@ -167,13 +167,13 @@
 		c := &q.classes[i]
 		for !c.overRate.empty() && !c.overRate.top().retry.After(q.now) {
 			f := c.overRate.top()
-			c.place(f, flowReady)
-			q.settle(c, f)
+			c.setState(f, flowReady)
+			q.refresh(c, f)
 		}
 	}
 }
 
-// Wake counts anew what a team may start after quota was released. It reports whether there is something.
+// Wake recounts the tasks that a team may start after quota was released. It reports whether there are any.
 func (q *Queue) Wake(k TeamKey) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -185,15 +185,15 @@
 			continue
 		}
 		if f.state == flowOverQuota {
-			c.place(f, flowReady)
+			c.setState(f, flowReady)
 		}
-		q.settle(c, f)
+		q.refresh(c, f)
 		woken = woken || f.state == flowReady
 	}
 	return woken
 }
 
-// Pop removes the task to start next. Long work is offered only if long is true.
+// Pop removes and returns the task to start next. Long work is considered only if long is set.
 func (q *Queue) Pop(long bool) (Item, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -210,11 +210,11 @@
 	return q.pop(second)
 }
 
-// pop expects q.mu to be held.
+// pop removes the next task of a class. It expects q.mu to be held.
 func (q *Queue) pop(c *classQueue) (Item, bool) {
 	for !c.ready.empty() {
 		f := c.ready.top().ready.top()
-		if q.reclass(c, f) {
+		if q.reclassify(c, f) {
 			continue
 		}
 		p := q.teams.TryStart(f.key, q.now)
@@ -226,14 +226,14 @@
 	return q.popBorrowed(c)
 }
 
-// popBorrowed serves teams beyond their quota in turns. Long work gets no loan, because it could not be returned
-// quickly.
+// popBorrowed serves teams beyond their quota in turn, on quota borrowed from other teams. Long work may not borrow,
+// because it could not return the quota quickly.
 func (q *Queue) popBorrowed(c *classQueue) (Item, bool) {
 	if c.class == backend.ClassLong || c.overQuota.Len() == 0 {
 		return Item{}, false
 	}
 	f := c.overQuota.Front().Value.(*teamFlow)
-	if q.reclass(c, f) {
+	if q.reclassify(c, f) {
 		return q.popBorrowed(c)
 	}
 	p := q.teams.TryBorrow(f.key, q.now)
@@ -247,24 +247,24 @@
 	return q.take(c, f, p), true
 }
 
-// park sets a flow aside that its quota holds back.
+// park sets aside a flow that may not start tasks within its quota.
 func (q *Queue) park(c *classQueue, f *teamFlow, p Permit) {
 	if p.Retry.IsZero() {
-		c.place(f, flowOverQuota)
+		c.setState(f, flowOverQuota)
 	} else {
 		f.retry = p.Retry
-		c.place(f, flowOverRate)
+		c.setState(f, flowOverRate)
 	}
-	q.settle(c, f)
+	q.refresh(c, f)
 }
 
 // take removes the first task of a flow and charges its expected work.
 func (q *Queue) take(c *classQueue, f *teamFlow, p Permit) Item {
-	c.virtual = max(c.virtual, f.owner.virtual)
-	f.owner.teamVirtual = max(f.owner.teamVirtual, f.virtual)
+	c.virtual = max(c.virtual, f.customer.virtual)
+	f.customer.teamVirtual = max(f.customer.teamVirtual, f.virtual)
 	c.charge(f, f.jobs.top().peek().Expected.Seconds())
 	it := q.removeNext(c, f)
-	for _, m := range []*meter{&c.rate, &f.owner.rate, &f.rate} {
+	for _, m := range []*meter{&c.rate, &f.customer.rate, &f.rate} {
 		m.add(it.Expected, q.now)
 	}
 	it.Charged = p.Charged
@@ -282,12 +282,12 @@
 		f.jobs.fix(j)
 	}
 	c.count(f, &it, -1)
-	q.settle(c, f)
+	q.refresh(c, f)
 	return it
 }
 
-// reclass moves the first task of a flow to the other class if its kind has been judged anew since it was queued.
-func (q *Queue) reclass(c *classQueue, f *teamFlow) bool {
+// reclassify moves the first task of a flow to the other class if its kind has been reclassified since it was queued.
+func (q *Queue) reclassify(c *classQueue, f *teamFlow) bool {
 	kind := f.jobs.top().peek().Kind
 	if kind == nil || kind.Class() == c.class {
 		return false
@@ -298,8 +298,8 @@
 	return true
 }
 
-// Finished ends a task that was popped and has run for the given time. Its team is charged for the difference to
-// the expectation. It reports whether tasks of the team may wait for the released quota.
+// Finished records that a popped task has run for the given time. Its team is charged for the difference to the
+// expected run time. Finished reports whether tasks of the team may be waiting for the released quota.
 func (q *Queue) Finished(it Item, ran time.Duration) bool {
 	q.mu.Lock()
 	c := &q.classes[it.Class]
@@ -310,8 +310,9 @@
 	return it.Charged && q.teams.Release(it.teamKey(), true)
 }
 
-// Returned takes back the charge of a task that was popped and did not start.
-func (q *Queue) Returned(it Item) bool {
+// Refund takes back the charge of a task that was popped and did not start. It reports whether tasks of the team may be
+// waiting for the released quota.
+func (q *Queue) Refund(it Item) bool {
 	q.mu.Lock()
 	c := &q.classes[it.Class]
 	if f := c.lookup(q.teams.Flow(it.teamKey())); f != nil {
@@ -321,7 +322,7 @@
 	return it.Charged && q.teams.Release(it.teamKey(), false)
 }
 
-// Cancel removes the waiting tasks of a job and returns their number. The cost per task is constant.
+// Cancel removes the waiting tasks of a job and returns their number. It takes constant time per task.
 func (q *Queue) Cancel(id contract.JobID) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -338,12 +339,12 @@
 		for i := range j.items {
 			c.count(j.flow, &j.items[i], -1)
 		}
-		q.settle(c, j.flow)
+		q.refresh(c, j.flow)
 	}
 	return n
 }
 
-// Reconfigure changes the deadline and priority of a job's waiting tasks. A zero deadline leaves it as it is.
+// Reconfigure changes the deadline and priority of a job's waiting tasks. A zero deadline keeps the present one.
 func (q *Queue) Reconfigure(id contract.JobID, deadline time.Time, priority int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -357,27 +358,27 @@
 	}
 }
 
-// ApplyWeights takes over the weights and limits in effect.
+// ApplyWeights applies the weights and limits in effect to all flows.
 func (q *Queue) ApplyWeights() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := range q.classes {
 		c := &q.classes[i]
-		for _, o := range c.customers {
-			for _, f := range o.teams {
-				o.weight, f.weight = q.teams.Weights(f.key.Customer, f.key.Team)
+		for _, cf := range c.customers {
+			for _, f := range cf.teams {
+				cf.weight, f.weight = q.teams.Weights(f.key.Customer, f.key.Team)
 				if f.tasks > 0 {
-					// Limits may have been raised or dropped: the next Pop finds out.
-					c.place(f, flowReady)
+					// Limits may have been raised or removed; refresh and the next Pop check them.
+					c.setState(f, flowReady)
 				}
-				q.settle(c, f)
+				q.refresh(c, f)
 			}
 		}
 	}
 }
 
-// Depth is the amount of waiting work. Short and Long count the tasks that the quotas let start, so that no slot is
-// asked for in vain; Waiting and Bytes count all.
+// Depth is the amount of waiting work. Short and Long count the tasks that may start within the quotas, so that no slot
+// is requested unnecessarily; the other fields count all tasks.
 type Depth struct {
 	Short     int
 	Long      int
@@ -402,7 +403,7 @@
 	return d
 }
 
-// WaitingOf counts the waiting tasks of a team.
+// WaitingOf returns the number of waiting tasks of a team.
 func (q *Queue) WaitingOf(k TeamKey) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/customer/queue_test.go
+++ b/customer/queue_test.go
@@ -27,7 +27,7 @@
 	return items
 }
 
-func limited(slots int, rate float64, teams ...string) Settings {
+func quotaSettings(slots int, rate float64, teams ...string) Settings {
 	s := Settings{Revision: 1}
 	for _, t := range teams {
 		s.Customers = append(s.Customers, Spec{Name: t, Teams: []TeamSpec{
@@ -37,12 +37,12 @@
 	return s
 }
 
-// Guards against tasks that are lost, offered twice or offered after their job was cancelled, and against a depth
-// that differs from the work that waits.
+// Guards against tasks that are lost, popped twice or popped after their job was cancelled, and against a depth that
+// differs from the waiting work.
 func TestQueueConservesTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := NewTeams(false)
-		teams.Apply(limited(2, 0, "a", "b"))
+		teams.Apply(quotaSettings(2, 0, "a", "b"))
 		q := NewQueue(teams)
 		waiting := map[contract.TaskID]Item{}
 		var running []Item
@@ -75,7 +75,7 @@
 				}
 				it := running[0]
 				running = running[1:]
-				release := q.Returned
+				release := q.Refund
 				if rapid.Bool().Draw(t, "started") {
 					release = func(it Item) bool { return q.Finished(it, time.Second) }
 				}
@@ -122,7 +122,7 @@
 	})
 }
 
-// Guards against a customer with a flood of tasks that delays another's few.
+// Guards against a customer with a flood of tasks that delays the few tasks of another one.
 func TestFloodDoesNotDelayAnotherCustomer(t *testing.T) {
 	q := NewQueue(NewTeams(false))
 	for job := 1; job <= 20; job++ {
@@ -141,7 +141,7 @@
 	require.LessOrEqual(t, last, 20, "equal weights serve ten tasks of each within twenty starts")
 }
 
-// Guards against weights without effect, between customers and between teams.
+// Guards against weights that have no effect among customers or among teams.
 func TestWeightsDivideService(t *testing.T) {
 	teams := NewTeams(false)
 	teams.Apply(Settings{Revision: 1, Customers: []Spec{
@@ -161,8 +161,8 @@
 	require.InDelta(t, 100, got["z"], 2)
 }
 
-// Guards against the last tasks of a nearly finished job that wait behind a new large job, and against priority or
-// deadline that yield to it.
+// Guards against the last tasks of a nearly finished job waiting behind a new large job, and against that rule
+// overriding priority or deadline.
 func TestOrderWithinTeam(t *testing.T) {
 	q := NewQueue(NewTeams(false))
 	q.Push(tasks(1, 300, "a", "t", time.Second))
@@ -185,10 +185,10 @@
 	require.Equal(t, uint64(5), it.Task.Job.Seq)
 }
 
-// Guards against a quota that is exceeded while others need theirs, and against unused quota that stays idle.
+// Guards against a team that exceeds its quota while others need theirs, and against unused quota that stays idle.
 func TestQuotaIsLentAndReturned(t *testing.T) {
 	teams := NewTeams(false)
-	teams.Apply(limited(4, 0, "a", "b"))
+	teams.Apply(quotaSettings(4, 0, "a", "b"))
 	q := NewQueue(teams)
 	q.Push(tasks(1, 20, "a", "a", time.Second))
 	require.Equal(t, 4, q.Depth().Short)
@@ -213,11 +213,11 @@
 	require.Zero(t, teams.Spare())
 }
 
-// Guards against starts beyond the rate, and against a team that is not offered again once its token is due.
+// Guards against starts beyond the rate, and against a team that is not served again once a token is available.
 func TestStartRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := NewTeams(false)
-		teams.Apply(limited(0, 10, "a"))
+		teams.Apply(quotaSettings(0, 10, "a"))
 		q := NewQueue(teams)
 		q.Push(tasks(1, 400, "a", "a", time.Millisecond))
 		now, started := epoch, 0
@@ -240,9 +240,9 @@
 	})
 }
 
-// Guards against long work that is never served while short work waits, and against short work that yields more than
-// the floor.
-func TestLongWorkHasAFloor(t *testing.T) {
+// Guards against long work that is never served while short work waits, and against long work that gets more than its
+// minimum share.
+func TestLongWorkGetsMinimumShare(t *testing.T) {
 	q := NewQueue(NewTeams(false))
 	long := tasks(1, 100, "a", "t", time.Second)
 	for i := range long {
@@ -259,8 +259,8 @@
 	require.InDelta(t, 10, n, 1)
 }
 
-// Guards against flows that pile up when callers make up customers and teams.
-func TestIdleFlowsAreForgotten(t *testing.T) {
+// Guards against flows that accumulate when callers invent names of customers and teams.
+func TestIdleFlowsAreEvicted(t *testing.T) {
 	q := NewQueue(NewTeams(false))
 	for n := range 5000 {
 		name := fmt.Sprint(n)
@@ -268,7 +268,7 @@
 		_, ok := q.Pop(false)
 		require.True(t, ok)
 	}
-	require.LessOrEqual(t, len(q.classes[0].customers), 2*idleFlows)
+	require.LessOrEqual(t, len(q.classes[0].customers), 2*evictionThreshold)
 }
 
 func BenchmarkPop490Teams(b *testing.B) {
@@ -300,7 +300,7 @@
 	}
 }
 
-// Guards against a caller that takes over the queue with a new made-up name for each job.
+// Guards against a caller that monopolises the queue by using a new name for each job.
 func TestUnknownNamesShareAFlow(t *testing.T) {
 	teams := NewTeams(false)
 	teams.Apply(Settings{Revision: 1, Customers: []Spec{{Name: "known", Teams: []TeamSpec{{Name: "t"}}}}})
--- a/customer/quota.go
+++ b/customer/quota.go
@@ -1,14 +1,14 @@
 package customer
 
-// QuotaNeed is what a holder has of a team's quota and what the team's work there could use.
+// QuotaNeed is a holder's share of a team's quota and the demand of the team's work there.
 type QuotaNeed struct {
 	Held   int
 	Demand int
 }
 
-// QuotaToGive returns how much of its share a holder gives to one that asks. It gives half of what it does not need
-// itself. If both lack quota, shares move half way towards the ratio of the demands, so that they settle without going
-// back and forth.
+// QuotaToGive returns how much of its share a holder transfers to another one that requests quota. A holder with spare
+// quota gives half of it. If both lack quota, the shares move half way towards the ratio of the demands, so that they
+// converge without oscillating.
 func QuotaToGive(mine, theirs QuotaNeed) int {
 	need := theirs.Demand - theirs.Held
 	if need <= 0 || mine.Held <= 0 {
--- a/customer/settings.go
+++ b/customer/settings.go
@@ -9,37 +9,37 @@
 // TeamSpec describes a team of a customer. Names are unique within the customer.
 type TeamSpec struct {
 	Name string
-	// Weight is the team's share of its customer's work; 0 counts as 1.
+	// Weight determines the team's share of its customer's capacity; 0 counts as 1.
 	Weight float64
-	// Slots is the quota of tasks that run at the same time over all failure domains; 0 means no quota.
+	// Slots is the quota of concurrently running tasks over all failure domains; 0 means no quota.
 	Slots int
 	// StartsPerSecond is the quota of starts over all failure domains; 0 means no quota.
 	StartsPerSecond float64
-	// Burst is the number of starts that may follow each other at once; 0 takes the starts of one second.
+	// Burst is the maximum number of starts at once; 0 selects the starts of one second.
 	Burst float64
-	// QuotaRevision is the revision at which Slots or StartsPerSecond were last changed. Shares of an earlier revision
-	// are void, and the quota is divided anew.
+	// QuotaRevision is the revision at which Slots or StartsPerSecond was last changed. Shares of an earlier revision
+	// are invalid, and the quota is divided again.
 	QuotaRevision uint64
 }
 
 // Spec describes a customer.
 type Spec struct {
 	Name string
-	// Weight is the customer's share of the capacity; 0 counts as 1.
+	// Weight determines the customer's share of the capacity; 0 counts as 1.
 	Weight float64
 	Teams  []TeamSpec
 }
 
-// Settings are all customers of a configuration. Revision grows with each configuration in effect.
+// Settings are the customers of a configuration. Revision increases with each configuration in effect.
 type Settings struct {
 	Revision  uint64
 	Customers []Spec
-	// Domains lists the numbers of the failure domains among which quotas are divided at first. They are a part of the
-	// settings, because entry VMs with different lists of the platform would divide differently.
+	// Domains lists the numbers of the failure domains among which quotas are divided initially. They are part of the
+	// settings, because entry VMs with different platform lists would divide the quotas differently.
 	Domains []uint16
 }
 
-// Validate returns all faults at once, nil if there are none.
+// Validate returns all errors of the settings joined, or nil if there are none.
 func (s Settings) Validate() error {
 	var faults []error
 	customers := make(map[string]bool, len(s.Customers))
@@ -71,16 +71,16 @@
 	return faults
 }
 
-// TeamKey names a team over all customers.
+// TeamKey identifies a team among all customers.
 type TeamKey struct {
 	Customer string
 	Team     string
 }
 
-// String returns the form used in messages between entry VMs.
+// String returns the form that is used in messages between entry VMs.
 func (k TeamKey) String() string { return k.Customer + "/" + k.Team }
 
-// ParseTeamKey reads the form that String writes.
+// ParseTeamKey parses the form that String returns.
 func ParseTeamKey(s string) (TeamKey, bool) {
 	name, team, ok := strings.Cut(s, "/")
 	return TeamKey{Customer: name, Team: team}, ok && name != "" && team != ""
--- a/customer/team.go
+++ b/customer/team.go
@@ -12,12 +12,12 @@
 
 const (
 	teamShards = 16
-	// RateUnits is the number of parts into which the quota of a team is divided that limits only its start rate.
+	// RateUnits is the number of units into which a quota that limits only the start rate is divided.
 	RateUnits = 1000
 )
 
-// Permit is the reply to a team that wants to start a task. Without OK, the team waits for the end of one of its
-// tasks, or until Retry if that is set. Charged permits have to be released when the task has ended.
+// Permit is the reply to a team's request to start a task. If OK is not set, the team waits until one of its tasks
+// ends, or until Retry if that is set. A charged permit has to be released when the task has ended.
 type Permit struct {
 	OK      bool
 	Charged bool
@@ -27,20 +27,20 @@
 // Team is a team with its limits on this entry VM. The lock of its shard guards all fields.
 type Team struct {
 	spec TeamSpec
-	// share is this VM's part of the quota, in slots or in RateUnits.
+	// share is this VM's part of the quota, as a number of slots or of the RateUnits.
 	share   int
 	running int
 	waiting bool
 	bucket  bucket
 }
 
-// bucket is a token bucket of starts.
+// bucket is a token bucket that limits the start rate.
 type bucket struct {
 	tokens float64
 	last   time.Time
 }
 
-// units is the quota as a whole number that can be divided into shares; 0 means no quota.
+// units returns the quota as an integer that can be divided into shares; 0 means no quota.
 func (s TeamSpec) units() int {
 	switch {
 	case s.Slots > 0:
@@ -62,7 +62,7 @@
 	return t.spec.StartsPerSecond * fraction, math.Max(1, burst*fraction)
 }
 
-// tokens returns the starts that the rate allows at now, and refills the bucket.
+// tokens refills the bucket and returns the number of starts that the rate allows at now.
 func (t *Team) tokens(now time.Time) float64 {
 	perSecond, burst := t.rate()
 	if t.bucket.last.IsZero() {
@@ -76,47 +76,48 @@
 	return t.bucket.tokens
 }
 
-// retryAt returns when the next token is complete.
+// retryAt returns the time at which the next token is available.
 func (t *Team) retryAt(now time.Time) time.Time {
 	perSecond, _ := t.rate()
 	if perSecond <= 0 {
-		// The share is empty; a transfer of quota has to come first.
+		// The share is empty; quota has to be transferred to this VM first.
 		return now.Add(time.Second)
 	}
 	due := time.Duration((1 - t.bucket.tokens) / perSecond * float64(time.Second))
 	return now.Add(max(time.Millisecond, due))
 }
 
-// room returns the number of tasks that the own quota lets start now.
-func (t *Team) room(now time.Time) int {
-	room := math.MaxInt
+// startable returns the number of tasks that may start now within the team's own quota.
+func (t *Team) startable(now time.Time) int {
+	startable := math.MaxInt
 	if t.spec.Slots > 0 {
-		room = max(0, t.share-t.running)
+		startable = max(0, t.share-t.running)
 	}
 	if t.spec.StartsPerSecond > 0 {
-		room = min(room, int(t.tokens(now)))
+		startable = min(startable, int(t.tokens(now)))
 	}
-	return room
+	return startable
 }
 
-// full reports whether the own quota has no slot left.
+// full reports whether the team's own quota has no slot left.
 func (t *Team) full() bool { return t.spec.Slots > 0 && t.running >= t.share }
 
-// take starts a task on the own quota.
-func (t *Team) take(now time.Time) Permit {
+// tryStart charges the start of a task to the team's own quota if possible.
+func (t *Team) tryStart(now time.Time) Permit {
 	if t.full() {
 		t.waiting = true
 		return Permit{}
 	}
-	if p, ok := t.spend(now); !ok {
+	if p, ok := t.takeToken(now); !ok {
 		return p
 	}
 	t.running++
 	return Permit{OK: true, Charged: true}
 }
 
-// spend takes a token.
-func (t *Team) spend(now time.Time) (Permit, bool) {
+// takeToken takes a token if the start rate is limited. It returns false with the time of the next token if there is
+// none.
+func (t *Team) takeToken(now time.Time) (Permit, bool) {
 	if t.spec.StartsPerSecond <= 0 {
 		return Permit{}, true
 	}
@@ -127,7 +128,7 @@
 	return Permit{}, true
 }
 
-// balance returns the unused part of the slot quota and the number of tasks beyond it.
+// balance returns the unused part of the slot quota and the number of running tasks beyond it.
 func (t *Team) balance() (idle, borrowed int64) {
 	if t.spec.Slots == 0 {
 		return 0, 0
@@ -147,21 +148,21 @@
 	domains   []uint16
 }
 
-// Teams holds the limits of all teams on this entry VM, in shards by name. A team without quota is not recorded.
+// Teams holds the limits of all teams on this entry VM, in shards by name. Teams without a quota are not recorded.
 type Teams struct {
 	shards [teamShards]teamShard
-	// idle and borrowed are sums over the shards: the unused slot quota and the tasks that run on it.
+	// idle and borrowed are sums over the shards: the unused slot quota and the running tasks beyond their team's quota.
 	idle     atomic.Int64
 	borrowed atomic.Int64
 	weights  atomic.Pointer[weights]
 
 	mu       sync.Mutex
 	revision uint64
-	// distributed says that shares arrive by SetShare; otherwise this VM holds the whole quota.
+	// distributed is set if shares are assigned by SetShare; otherwise this VM holds the whole quota.
 	distributed bool
 }
 
-// NewTeams returns a registry without teams. With distributed, a team's share is empty until SetShare.
+// NewTeams returns a registry without teams. If distributed is set, a team's share is zero until SetShare is called.
 func NewTeams(distributed bool) *Teams {
 	t := &Teams{distributed: distributed}
 	for i := range t.shards {
@@ -175,7 +176,7 @@
 	return &t.shards[(xxhash.Sum64String(k.Customer)+31*xxhash.Sum64String(k.Team))%teamShards]
 }
 
-// Apply takes over settings of a newer revision and reports whether they were newer.
+// Apply applies settings unless their revision is older than the one in effect, and reports whether it did.
 func (t *Teams) Apply(s Settings) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,21 +199,21 @@
 		}
 	}
 	t.weights.Store(w)
-	t.drop(limited)
+	t.removeUnlimited(limited)
 	for k, spec := range limited {
 		t.applyTeam(k, spec)
 	}
 	return true
 }
 
-// drop removes the limits of teams that have none any more. Their running tasks release nothing.
-func (t *Teams) drop(limited map[TeamKey]TeamSpec) {
+// removeUnlimited removes the teams that no longer have limits. The release of their running tasks has no effect.
+func (t *Teams) removeUnlimited(limited map[TeamKey]TeamSpec) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for k, team := range s.teams {
 			if _, ok := limited[k]; !ok {
-				t.change(team, func() { *team = Team{} })
+				t.update(team, func() { *team = Team{} })
 				delete(s.teams, k)
 			}
 		}
@@ -229,7 +230,7 @@
 		team = &Team{}
 		s.teams[k] = team
 	}
-	t.change(team, func() {
+	t.update(team, func() {
 		team.spec = spec
 		if !t.distributed {
 			team.share = spec.units()
@@ -237,8 +238,8 @@
 	})
 }
 
-// change updates the sums after fn has changed a team. It expects the shard lock to be held.
-func (t *Teams) change(team *Team, fn func()) {
+// update changes a team by fn and updates the sums. It expects the shard lock to be held.
+func (t *Teams) update(team *Team, fn func()) {
 	idle, borrowed := team.balance()
 	fn()
 	idleNow, borrowedNow := team.balance()
@@ -246,7 +247,7 @@
 	t.borrowed.Add(borrowedNow - borrowed)
 }
 
-// SetShare sets this VM's part of a team's quota and reports whether tasks of the team may wait for it.
+// SetShare sets this VM's share of a team's quota and reports whether tasks of the team may be waiting for it.
 func (t *Teams) SetShare(k TeamKey, share int) bool {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -256,7 +257,7 @@
 		return false
 	}
 	grown := share > team.share
-	t.change(team, func() { team.share = max(0, share) })
+	t.update(team, func() { team.share = max(0, share) })
 	waiting := team.waiting
 	if grown {
 		team.waiting = false
@@ -264,7 +265,7 @@
 	return grown && waiting
 }
 
-// TryStart asks for a start on the team's own quota.
+// TryStart requests the start of a task on the team's own quota.
 func (t *Teams) TryStart(k TeamKey, now time.Time) Permit {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -274,12 +275,12 @@
 		return Permit{OK: true}
 	}
 	var p Permit
-	t.change(team, func() { p = team.take(now) })
+	t.update(team, func() { p = team.tryStart(now) })
 	return p
 }
 
-// TryBorrow asks for a start beyond the team's own quota, on what the other teams leave unused. The lenders come
-// first for every slot that becomes free, so that the loan ends with the tasks that run on it.
+// TryBorrow requests a start beyond the team's own quota, on quota that other teams leave unused. The lending teams
+// have precedence for every slot that becomes free, so a loan is returned when the tasks that use it end.
 func (t *Teams) TryBorrow(k TeamKey, now time.Time) Permit {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -290,17 +291,17 @@
 	}
 	if !team.full() {
 		var p Permit
-		t.change(team, func() { p = team.take(now) })
+		t.update(team, func() { p = team.tryStart(now) })
 		return p
 	}
 	if !t.reserveLoan() {
 		return Permit{}
 	}
-	if p, ok := team.spend(now); !ok {
+	if p, ok := team.takeToken(now); !ok {
 		t.borrowed.Add(-1)
 		return p
 	}
-	// The loan is in the sum already.
+	// The loan is already included in t.borrowed.
 	team.running++
 	return Permit{OK: true, Charged: true}
 }
@@ -317,8 +318,8 @@
 	}
 }
 
-// Release ends the use of a charged permit. It reports whether tasks of the team may wait for it. A start that did
-// not happen gets its token back.
+// Release releases a charged permit and reports whether tasks of the team may be waiting for it. The token of a start
+// that did not happen is returned to the bucket.
 func (t *Teams) Release(k TeamKey, started bool) bool {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -327,8 +328,8 @@
 	if !ok {
 		return false
 	}
-	// The limits may have been dropped and set again while the task ran.
-	t.change(team, func() { team.running = max(0, team.running-1) })
+	// The limits may have been removed and set again while the task ran.
+	t.update(team, func() { team.running = max(0, team.running-1) })
 	if !started && team.spec.StartsPerSecond > 0 {
 		team.bucket.tokens++
 	}
@@ -340,10 +341,10 @@
 	return waiting
 }
 
-// Room returns the number of tasks that a team may start now on its own quota, and whether it has one. If there is no
-// room for lack of a token, retry is when the next one is due. If less than want are possible, the team counts as
-// waiting for quota to be released.
-func (t *Teams) Room(k TeamKey, want int, now time.Time) (room int, retry time.Time, limited bool) {
+// Startable returns the number of tasks that a team may start now within its own quota, and whether it has one. If
+// there are none for lack of a token, retry is the time of the next token. If there are fewer than want, the team is
+// marked as waiting for released quota.
+func (t *Teams) Startable(k TeamKey, want int, now time.Time) (startable int, retry time.Time, limited bool) {
 	s := t.shard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,27 +352,27 @@
 	if !ok {
 		return 0, time.Time{}, false
 	}
-	room = team.room(now)
-	if room < want {
+	startable = team.startable(now)
+	if startable < want {
 		team.waiting = true
 	}
-	if room == 0 && !team.full() {
+	if startable == 0 && !team.full() {
 		retry = team.retryAt(now)
 	}
-	return room, retry, true
+	return startable, retry, true
 }
 
-// Spare returns the number of tasks that may still start on the unused quota of other teams.
+// Spare returns the number of further tasks that may start on unused quota of other teams.
 func (t *Teams) Spare() int { return int(max(0, t.idle.Load()-t.borrowed.Load())) }
 
 // Weights returns the weights of a customer and a team; unknown ones count as 1.
 func (t *Teams) Weights(customer, team string) (float64, float64) {
 	w := t.weights.Load()
-	return orOne(w.customers[customer]), orOne(w.teams[TeamKey{Customer: customer, Team: team}])
+	return weightOrDefault(w.customers[customer]), weightOrDefault(w.teams[TeamKey{Customer: customer, Team: team}])
 }
 
-// Flow returns the team under which the work of k is ordered. Once customers are configured, all unknown names share
-// one flow; otherwise a caller could take over the queue by making up a new name for each job.
+// Flow returns the team under which the work of k is scheduled. Once customers are configured, all unknown names share
+// one flow; otherwise a caller could monopolise the queue by using a new name for each job.
 func (t *Teams) Flow(k TeamKey) TeamKey {
 	w := t.weights.Load()
 	if len(w.customers) == 0 {
@@ -386,14 +387,14 @@
 	return k
 }
 
-func orOne(weight float64) float64 {
+func weightOrDefault(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
 	return weight
 }
 
-// Usage is a team's part of its quota on this entry VM.
+// Usage is the share and usage of a team's quota on this entry VM.
 type Usage struct {
 	Key      TeamKey
 	Quota    int
@@ -419,7 +420,7 @@
 	return out
 }
 
-// Running counts the tasks of a team that run on its quota here.
+// Running returns the number of tasks that a team with a quota runs on this entry VM.
 func (t *Teams) Running(k TeamKey) int {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -430,5 +431,5 @@
 	return 0
 }
 
-// Domains returns the failure domains among which the quotas are divided at first.
+// Domains returns the failure domains among which the quotas are divided initially.
 func (t *Teams) Domains() []uint16 { return t.weights.Load().domains }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -168,7 +168,7 @@
 	newBench(b, benchFleet(), 1, immediateStarter{}, benchSlots).run(b)
 }
 
-// BenchmarkStartHTTP measures starts over HTTP. The figures include the stand-in workers, which run in the same process.
+// BenchmarkStartHTTP measures starts over HTTP, including the work of the stand-in workers in the same process.
 func BenchmarkStartHTTP(b *testing.B) {
 	fleet := machine.NewFleet()
 	home := machine.NewIncarnation()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -171,8 +171,8 @@
 	}
 	d.counters.accepted.Inc(1)
 	d.o.Timeline.Job(timeline.JobAccepted, spec.ID, spec.Service, len(spec.Tasks))
-	sched, _ := d.scheduler(spec.Service)
-	d.execute(sched, sched.Push(items, now))
+	scheduler, _ := d.scheduler(spec.Service)
+	d.execute(scheduler, scheduler.Push(items, now))
 	return nil
 }
 
@@ -185,13 +185,13 @@
 	if err != nil {
 		return nil, err
 	}
-	sched, _ := d.scheduler(spec.Service)
-	return items, d.admission(sched, spec, items, now)
+	scheduler, _ := d.scheduler(spec.Service)
+	return items, d.admission(scheduler, spec, items, now)
 }
 
 // prepare validates a job and turns its tasks into queue items.
 func (d *Dispatcher) prepare(spec *contract.JobSpec, now time.Time) ([]customer.Item, error) {
-	sched, ok := d.scheduler(spec.Service)
+	scheduler, ok := d.scheduler(spec.Service)
 	if !ok {
 		return nil, fault.With(fault.Invalid, "unknown service", "service %q is not configured", spec.Service)
 	}
@@ -200,7 +200,7 @@
 	}
 	items := make([]customer.Item, len(spec.Tasks))
 	for i, t := range spec.Tasks {
-		kind, ok := sched.service.Kind(t.Kind)
+		kind, ok := scheduler.service.Kind(t.Kind)
 		if !ok {
 			return nil, fault.With(fault.Invalid, "unknown kind", "service %q has no request kind %q", spec.Service, t.Kind)
 		}
@@ -273,7 +273,7 @@
 
 // Grant adds leased slots of a service and starts waiting tasks on them.
 func (d *Dispatcher) Grant(service string, grants []contract.SlotGrant) {
-	sched, ok := d.scheduler(service)
+	scheduler, ok := d.scheduler(service)
 	if !ok {
 		return
 	}
@@ -283,13 +283,13 @@
 			Count: int64(g.Short + g.Long),
 		})
 	}
-	d.execute(sched, sched.AddGrants(grants, d.o.Now()))
+	d.execute(scheduler, scheduler.AddGrants(grants, d.o.Now()))
 }
 
 // Recall returns slots that an allocator needs for work that has waited longer than the work here.
 func (d *Dispatcher) Recall(service, allocator string, slots int, wait time.Duration) {
-	if sched, ok := d.scheduler(service); ok {
-		d.execute(sched, sched.Recall(allocator, slots, wait, d.o.Now()))
+	if scheduler, ok := d.scheduler(service); ok {
+		d.execute(scheduler, scheduler.Recall(allocator, slots, wait, d.o.Now()))
 	}
 }
 
--- a/dispatch/match.go
+++ b/dispatch/match.go
@@ -59,7 +59,7 @@
 // requeue puts back tasks for which no slot was left. It expects sched.mu to be held.
 func (sched *Lane) requeue(items []customer.Item) {
 	for i := range items {
-		sched.queue.Returned(items[i])
+		sched.queue.Refund(items[i])
 		items[i].Charged = false
 	}
 	sched.queue.Push(items)
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-type dispatcherFixture struct {
+type fixture struct {
 	d       *Dispatcher
 	table   *contract.JobTable
 	workers *fakeWorkers
@@ -121,8 +121,8 @@
 }
 
 // newFixture starts a dispatcher with n workers named a, b, ... It must be called in a synctest bubble.
-func newFixture(n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome)) *dispatcherFixture {
-	b := &dispatcherFixture{
+func newFixture(n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome)) *fixture {
+	b := &fixture{
 		table: contract.NewJobTable(1, 7), fleet: machine.NewFleet(),
 		workers: &fakeWorkers{
 			run: run, starts: make(map[machine.WorkerID]int), renewed: make(map[contract.TaskID]int),
@@ -149,7 +149,7 @@
 	return b
 }
 
-func (b *dispatcherFixture) submit(tasks int, kind string) (contract.JobID, error) {
+func (b *fixture) submit(tasks int, kind string) (contract.JobID, error) {
 	id := b.table.Mint(1)[0]
 	spec := contract.JobSpec{ID: id, Service: "s", Customer: "c", Team: "t", Deadline: time.Now().Add(time.Minute)}
 	for range tasks {
@@ -159,7 +159,7 @@
 }
 
 // run advances the time of the bubble, with a tick every 10 ms.
-func (b *dispatcherFixture) run(d time.Duration) {
+func (b *fixture) run(d time.Duration) {
 	for range int(d / (10 * time.Millisecond)) {
 		time.Sleep(10 * time.Millisecond)
 		b.d.Tick()
@@ -167,7 +167,7 @@
 	}
 }
 
-func (b *dispatcherFixture) answer(t require.TestingT, id contract.JobID) contract.Answer {
+func (b *fixture) answer(t require.TestingT, id contract.JobID) contract.Answer {
 	a, _, err := b.table.Lookup(id)
 	require.NoError(t, err)
 	return a
@@ -295,7 +295,7 @@
 	})
 }
 
-// Guards against accepting jobs without a worker, beyond the queue limits, or with an expected wait beyond the deadline.
+// Guards against accepting jobs without a worker, beyond the queue limits, or with a wait beyond their deadline.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		none := newFixture(0, 1, []backend.KindSpec{testKind}, runsFor(time.Second))
--- a/dispatch/reclassify_test.go
+++ b/dispatch/reclassify_test.go
@@ -34,8 +34,8 @@
 	return StartReply{}, fault.NotStarted.New("never started")
 }
 
-// Guards against inconsistent slot counts when a start was in doubt for longer than the short-task limit and then proves
-// not to have happened: its slot has been reclassified as held by long work in the meantime.
+// Guards against inconsistent slot counts when a start was in doubt for longer than the short-task limit and then
+// proves not to have happened: its slot has been reclassified as held by long work in the meantime.
 func TestReclassifiedStartNeverHappened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1, 4, []backend.KindSpec{testKind}, runsFor(8*time.Second))
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -38,8 +38,8 @@
 		return
 	}
 	d.counters.accepted.Inc(1)
-	sched, _ := d.scheduler(spec.Service)
-	d.execute(sched, sched.Push(items, now))
+	scheduler, _ := d.scheduler(spec.Service)
+	d.execute(scheduler, scheduler.Push(items, now))
 }
 
 // Requeue queues jobs that were detached from the job table and restored to it. Their tasks may be in the queue twice;
@@ -48,8 +48,8 @@
 	now := d.o.Now()
 	for _, spec := range specs {
 		if items, err := d.prepare(&spec, now); err == nil {
-			sched, _ := d.scheduler(spec.Service)
-			d.execute(sched, sched.Push(items, now))
+			scheduler, _ := d.scheduler(spec.Service)
+			d.execute(scheduler, scheduler.Push(items, now))
 		}
 	}
 }
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -32,7 +32,7 @@
 	ticket, ok := d.o.Table.Start(a.Item.Task, string(a.Slot.Worker))
 	if !ok {
 		// The job was cancelled while the task waited.
-		d.wake(a.Item, sched.queue.Returned(a.Item))
+		d.wake(a.Item, sched.queue.Refund(a.Item))
 		d.execute(sched, sched.Release(a.Slot, d.o.Now()))
 		return
 	}
@@ -110,7 +110,7 @@
 	d.o.Timeline.Task(timeline.TaskRejected, a.Item.Task, a.Slot.Worker, fault.Reason(cause))
 	now := d.o.Now()
 	requeue := d.o.Table.NotStarted(a.Item.Task, now)
-	d.wake(a.Item, sched.queue.Returned(a.Item))
+	d.wake(a.Item, sched.queue.Refund(a.Item))
 	full := fault.Reason(cause) == ReasonWorkerFull
 	if !released {
 		d.execute(sched, sched.Reject(a.Slot, full, now))
@@ -132,8 +132,8 @@
 }
 
 // retryPause returns the delay before a rejected task is queued again. The retry budget does not apply to rejections by
-// full workers under the baseline policies: they are expected, the policies avoid the worker for a while, and the budget
-// would only delay the tasks.
+// full workers under the baseline policies: they are expected, the policies avoid the worker for a while, and the
+// budget would only delay the tasks.
 func (d *Dispatcher) retryPause(attempt int, full bool) time.Duration {
 	if full && d.o.Placement != nil {
 		return retryDelay
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -93,8 +93,8 @@
 	return t.reclassified, t.actionTaken, t.released
 }
 
-// markLong counts the slot of a task as held by long work. It returns false if the task has ended, has given up its slot
-// or already has a slot for long work.
+// markLong counts the slot of a task as held by long work. It returns false if the task has ended, has given up its
+// slot or already has a slot for long work.
 func (r *runningTasks) markLong(t *runningTask) bool {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -347,7 +347,8 @@
 	defer sched.mu.Unlock()
 	sched.stopped = true
 	plan := sched.match(now)
-	plan.Returns = append(plan.Returns, sched.returns(sched.holdings.DropIdle(func(contract.Slot) bool { return true }))...)
+	plan.Returns = append(plan.Returns,
+		sched.returns(sched.holdings.DropIdle(func(contract.Slot) bool { return true }))...)
 	return plan
 }
 
@@ -364,7 +365,8 @@
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	v := LaneView{
-		Service: sched.service.Name(), Depth: sched.queue.Depth(), Idle: sched.holdings.Idle(), Busy: sched.holdings.Busy(),
+		Service: sched.service.Name(), Depth: sched.queue.Depth(),
+		Idle: sched.holdings.Idle(), Busy: sched.holdings.Busy(),
 	}
 	if sched.o.Placement != nil {
 		v.Busy = sched.o.Placement.InFlight(sched.service.Name())
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -126,17 +126,18 @@
 	require.Equal(m.t, short, v.Depth.Short)
 	require.Equal(m.t, long, v.Depth.Long)
 	require.False(m.t, short > 0 && v.Idle > 0, "a short task waits while a slot is idle")
-	require.False(m.t, long > 0 && m.sched.holdings.IdleLong() > 0, "a long task waits while a slot for long work is idle")
+	require.False(m.t, long > 0 && m.sched.holdings.IdleLong() > 0, "a long task waits while a long slot is idle")
 	require.True(m.t, m.sched.Check())
 }
 
-// Guards against slots that are lost or used twice, tasks that are started twice or on a slot of the wrong class, usable
-// slots that stay idle while a task waits, and slots that are held while nothing waits or runs.
+// Guards against slots that are lost or used twice, tasks that are started twice or on a slot of the wrong class,
+// usable slots that stay idle while a task waits, and slots that are held while nothing waits or runs.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scarce := rapid.Bool().Draw(t, "scarce")
 		m := &schedulerModel{
-			t: t, sched: newTestScheduler(&scarce), now: time.Unix(1000, 0), waiting: make(map[contract.TaskID]backend.Class),
+			t: t, sched: newTestScheduler(&scarce), now: time.Unix(1000, 0),
+			waiting: make(map[contract.TaskID]backend.Class),
 		}
 		action := func(f func()) func(*rapid.T) { return func(t *rapid.T) { m.t = t; f() } }
 		t.Repeat(map[string]func(*rapid.T){
--- a/dispatch/schedulergates_test.go
+++ b/dispatch/schedulergates_test.go
@@ -46,7 +46,9 @@
 	sched.o.MayStart = func() bool { return may }
 	now := time.Unix(1000, 0)
 	sched.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
-	require.Empty(t, sched.AddGrants([]contract.SlotGrant{{Worker: "slow", Short: 1, Epoch: 1, TTL: time.Minute}}, now).Assignments)
+	require.Empty(t, sched.AddGrants([]contract.SlotGrant{
+		{Worker: "slow", Short: 1, Epoch: 1, TTL: time.Minute},
+	}, now).Assignments)
 	require.True(t, sched.Check(), "a suspended scheduler may hold idle slots while tasks wait")
 	may = true
 	require.Len(t, sched.Tick(now).Assignments, 1)
