--- a/backend/attribution.go
+++ b/backend/attribution.go
@@ -3,51 +3,54 @@
 import "time"
 
 const (
-	// attributionHalfLife is the time in which old outcomes lose half of their weight.
+	// attributionHalfLife is the time after which the weight of past outcomes is halved.
 	attributionHalfLife = 10 * time.Second
-	// provenSuccesses is the weight of successes elsewhere that proves that a kind can succeed.
+	// provenSuccesses is the minimum weight of successes on other workers to prove that a kind can succeed.
 	provenSuccesses = 0.5
-	// newKindFailures is the number of failures, on several workers and without a success ever, after which a
-	// kind counts as one that can never run. usedKindFailures applies to a kind that has succeeded before.
+	// newKindFailures is the number of consecutive failures on several workers after which a kind that has never
+	// succeeded counts as failing everywhere. usedKindFailures applies to a kind that has succeeded before.
 	newKindFailures  = 6
 	usedKindFailures = 30
 	// failingWorkers is the number of workers on which a kind has to fail, without a success in between, for the
-	// failures to be the kind's own.
+	// failures to be attributed to the kind.
 	failingWorkers = 3
-	// trialInterval spaces the jobs that are let through to find out whether a failing kind runs again.
+	// trialInterval is the minimum time between the jobs that are admitted to check whether a failing kind succeeds
+	// again.
 	trialInterval = 5 * time.Second
 	// poisonWorkers is the number of workers on which tasks of a job have to fail, without a success of the job, for
-	// the failures to be the job's own.
+	// the failures to be attributed to the job.
 	poisonWorkers = 3
-	// recentJobs bounds the memory of failed jobs.
-	recentJobs = 64
+	// maxFailedJobs bounds the number of failed jobs that are tracked.
+	maxFailedJobs = 64
 )
 
-// tally is a pair of decaying counts.
+// tally is a pair of decaying outcome counts.
 type tally struct{ ok, failed float64 }
 
-// jobTrace records where the tasks of a job have failed and how often that was held against the worker.
-type jobTrace struct {
+// jobFailures records the workers on which tasks of a job have failed and how many of the failures were attributed to
+// each worker.
+type jobFailures struct {
 	succeeded bool
 	poisoned  bool
 	failures  map[string]int
 }
 
-// FailureCause says how far a failure speaks against the worker on which it happened.
+// FailureCause is the evidence about whether a failure is the fault of the worker on which it happened.
 type FailureCause struct {
-	// Proven says that the same work succeeds elsewhere; otherwise the failure does not count.
+	// Proven is set if the same work succeeds on other workers; otherwise the failure does not prove a fault of the
+	// worker.
 	Proven bool
-	// Expected is the failure rate of the same work elsewhere.
+	// Expected is the failure rate of the same work on other workers.
 	Expected float64
-	// Explained says that the work fails on other workers as well and nowhere succeeds.
+	// Explained is set if the work fails on several workers and succeeds on none.
 	Explained bool
-	// Retract lists the failures by worker that were held against the workers and turned out to be the fault of the
+	// Retract lists the failures by worker that were attributed to the workers and turned out to be the fault of the
 	// job or kind.
 	Retract map[string]int
 }
 
-// Attribution tells failures of a worker from those of a kind or a job by comparing workers. The lock of its owner
-// guards it.
+// Attribution attributes failures to a worker, a request kind or a job by comparing the outcomes on different workers.
+// The caller must synchronise access.
 type Attribution struct {
 	workers map[string]*tally
 	total   tally
@@ -59,11 +62,11 @@
 	streakWorkers map[string]bool
 	lastTrial     time.Time
 
-	jobs  map[uint64]*jobTrace
-	order []uint64
+	jobs     map[uint64]*jobFailures
+	jobOrder []uint64
 }
 
-// Observe takes over the outcome of a task and returns what it says of the worker.
+// Observe records the outcome of a task and returns the evidence that it gives about the worker.
 func (a *Attribution) Observe(worker string, job uint64, failed bool, now time.Time) FailureCause {
 	a.decay(now)
 	w, ok := a.workers[worker]
@@ -103,12 +106,12 @@
 	return b
 }
 
-// decay halves the counts of the past.
+// decay halves the counts for each half-life that has passed, and initialises the maps on first use.
 func (a *Attribution) decay(now time.Time) {
 	if a.workers == nil {
 		a.workers = make(map[string]*tally)
 		a.streakWorkers = make(map[string]bool)
-		a.jobs = make(map[uint64]*jobTrace)
+		a.jobs = make(map[uint64]*jobFailures)
 		a.decayed = now
 	}
 	for now.Sub(a.decayed) >= attributionHalfLife {
@@ -140,16 +143,16 @@
 	}
 }
 
-// failJob finds jobs whose tasks fail wherever they run.
+// failJob records a failure of a job and detects jobs whose tasks fail on every worker.
 func (a *Attribution) failJob(worker string, job uint64, b *FailureCause) {
 	t, ok := a.jobs[job]
 	if !ok {
-		t = &jobTrace{failures: make(map[string]int)}
+		t = &jobFailures{failures: make(map[string]int)}
 		a.jobs[job] = t
-		a.order = append(a.order, job)
-		if len(a.order) > recentJobs {
-			delete(a.jobs, a.order[0])
-			a.order = a.order[1:]
+		a.jobOrder = append(a.jobOrder, job)
+		if len(a.jobOrder) > maxFailedJobs {
+			delete(a.jobs, a.jobOrder[0])
+			a.jobOrder = a.jobOrder[1:]
 		}
 	}
 	if t.poisoned {
@@ -170,8 +173,9 @@
 	}
 }
 
-// FailsEverywhere reports whether the kind fails wherever it runs. Workers is the number of workers that serve it. Failures
-// on a few workers within the run time of a task do not suffice: tasks that would succeed elsewhere still run.
+// FailsEverywhere reports whether the kind fails on every worker; workers is the number of workers that serve it.
+// Failures on a few workers within the run time of a task do not suffice, because tasks that will succeed on other
+// workers may still be running.
 func (a *Attribution) FailsEverywhere(workers int, run time.Duration, now time.Time) bool {
 	failures := newKindFailures
 	if a.succeeded {
@@ -184,8 +188,9 @@
 	return now.Sub(a.streakSince) >= run || (spread > failingWorkers && 2*spread >= workers)
 }
 
-// Trial reports whether a job of a hopeless kind may be let through at now.
-func (a *Attribution) Trial(now time.Time) bool {
+// AllowTrial reports whether a job of a kind that fails everywhere may be admitted at now as a trial, and if so records
+// the trial.
+func (a *Attribution) AllowTrial(now time.Time) bool {
 	if now.Sub(a.lastTrial) < trialInterval {
 		return false
 	}
--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,3 +1,3 @@
-// Package backend models the back ends of a deployment: services, the request kinds that they offer, and the run
-// times observed for each kind.
+// Package backend models the back ends of a deployment: services, the request kinds that they offer, and the observed
+// run times and outcomes of each kind.
 package backend
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/cicadadale/cicadadale/backend"
 )
 
-// A kind that is declared short counts as long once its runs show it.
+// A kind that is declared short is reclassified as long after enough long runs.
 func ExampleRequestKind() {
 	k := backend.NewRequestKind(backend.KindSpec{Name: "IssueOrder", Expected: 200 * time.Millisecond})
 	fmt.Println(k.Class(), k.Expected())
--- a/backend/kind.go
+++ b/backend/kind.go
@@ -8,60 +8,60 @@
 )
 
 const (
-	// Buckets grow by a quarter each, from 1 ms to about 20 minutes.
+	// The upper bounds of the buckets grow by a factor of 1.25, from 1 ms to about 20 minutes.
 	bucketRatio = 1.25
 	bucketBase  = time.Millisecond
 	bucketCount = 64
-	// decayAfter halves all counts, so that old run times lose their influence.
-	decayAfter = 2048
+	// decayInterval is the number of runs after which all counts are halved, so that old run times lose their influence.
+	decayInterval = 2048
 	// minObservations is the number of runs before observations replace the declaration.
 	minObservations = 20
-	// minClassRuns is the number of runs, ended or outgrown, before observations replace the declared class. Before
-	// settledRuns the long ones also have to be the majority: the tasks that take longest end last, so that a few of
-	// them outweigh the others for a while.
-	minClassRuns = 8
-	settledRuns  = 200
-	// tailObservations is the number of runs before the 99th percentile means something.
+	// minClassRuns is the number of runs, completed or reclassified, before observations replace the declared class.
+	// With fewer than stableClassRuns runs, at least half of them also have to be long for a kind to become long: the
+	// longest tasks end last, so a few of them outweigh the others for a while.
+	minClassRuns    = 8
+	stableClassRuns = 200
+	// tailObservations is the number of runs before the 99th percentile is meaningful.
 	tailObservations = 200
-	// LongThreshold separates short from long work: most tasks take up to a second.
+	// LongThreshold is the maximum run time of a short task: most tasks take up to a second.
 	LongThreshold = 1500 * time.Millisecond
-	// longAbove and longBelow are the shares of the slot time spent in long runs at which a kind becomes long and
-	// short again. The share of the slot time is taken and not the share of the runs, so that a kind with a few very
-	// long runs counts as long when these would hold most of the slots. The gap keeps a kind from changing its class
-	// with every run.
+	// longAbove is the share of the slot time in long runs above which a kind becomes long; below longBelow it becomes
+	// short again. Slot time is used instead of the number of runs, so that a kind with a few very long runs counts as
+	// long if these would hold most of the slots. The gap provides hysteresis, so that the class does not change with
+	// every run.
 	longAbove = 0.5
 	longBelow = 0.3
 	// defaultExpected applies to kinds that declare no run time.
 	defaultExpected = 300 * time.Millisecond
-	// stragglerTail and stragglerMean are the multiples of the 99th percentile, and before there is one of the mean,
-	// beyond which a task is a straggler.
-	stragglerTail = 3
-	stragglerMean = 10
-	// minStraggler keeps kinds of very short tasks from being acted on for a pause of the worker.
-	minStraggler = 2 * time.Second
+	// stragglerTailFactor is the multiple of the 99th percentile beyond which a task is a straggler;
+	// stragglerMeanFactor is that of the mean, for kinds with too few runs for a percentile.
+	stragglerTailFactor = 3
+	stragglerMeanFactor = 10
+	// minStragglerAfter is the minimum run time of a straggler, so that a pause of the worker does not make very short
+	// tasks stragglers.
+	minStragglerAfter = 2 * time.Second
 )
 
-// RequestKind is a request kind with its observed run times, normalised to a worker of speed 1 and, in raw, as they
-// were. Its mutex guards the declaration, the histograms and the attribution; class, mean and the last outcome are also
-// kept where they can be read without the lock.
+// RequestKind is a request kind with its observed run times, normalised to a worker of speed 1 in buckets and as
+// measured in rawBuckets. mu guards the fields below it; the atomic fields can be read without the lock.
 type RequestKind struct {
 	class atomic.Uint32
 	mean  atomic.Int64
-	// failing says that the last outcome was a failure.
+	// failing is set if the last outcome was a failure.
 	failing atomic.Bool
 
-	mu          sync.Mutex
-	spec        KindSpec
-	buckets     [bucketCount]float64
-	raw         [bucketCount]float64
-	total       float64
-	sum         float64
-	longSum     float64
-	longRuns    float64
-	logSum      float64
-	sinceDecay  int
-	outgrown    int
-	attribution Attribution
+	mu           sync.Mutex
+	spec         KindSpec
+	buckets      [bucketCount]float64
+	rawBuckets   [bucketCount]float64
+	total        float64
+	sum          float64
+	longSum      float64
+	longRuns     float64
+	logSum       float64
+	sinceDecay   int
+	reclassified int
+	attribution  Attribution
 }
 
 // NewRequestKind returns a kind without observations.
@@ -72,7 +72,7 @@
 	return k
 }
 
-// Spec returns the declaration.
+// Spec returns the declaration of the kind.
 func (k *RequestKind) Spec() KindSpec {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,7 +88,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.buckets[bucketOf(normal)]++
-	k.raw[bucketOf(run)]++
+	k.rawBuckets[bucketOf(run)]++
 	k.total++
 	k.sum += normal.Seconds()
 	k.logSum += math.Log(normal.Seconds())
@@ -97,41 +97,41 @@
 		k.longRuns++
 	}
 	k.sinceDecay++
-	if k.sinceDecay >= decayAfter {
+	if k.sinceDecay >= decayInterval {
 		k.decay()
 	}
-	k.judge()
+	k.updateEstimates()
 }
 
-// Outgrow records that a running task has outgrown the short class. Later tasks are judged with it at once; Shrink
-// takes the record back when the task has ended.
-func (k *RequestKind) Outgrow() {
+// AddReclassified records that a running task has exceeded the short-task limit. It counts as a long run at once;
+// RemoveReclassified removes the record when the task has ended.
+func (k *RequestKind) AddReclassified() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.outgrown++
-	k.judge()
+	k.reclassified++
+	k.updateEstimates()
 }
 
-// Shrink ends the record of a task that has outgrown its class.
-func (k *RequestKind) Shrink() {
+// RemoveReclassified removes the record of a task that had exceeded the short-task limit.
+func (k *RequestKind) RemoveReclassified() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.outgrown--
-	k.judge()
+	k.reclassified--
+	k.updateEstimates()
 }
 
-// judge expects k.mu to be held.
-func (k *RequestKind) judge() {
+// updateEstimates updates the mean run time and the class. It expects k.mu to be held.
+func (k *RequestKind) updateEstimates() {
 	if k.total >= minObservations {
 		k.mean.Store(int64(k.sum / k.total * float64(time.Second)))
 	}
-	runs, long := k.total+float64(k.outgrown), k.longRuns+float64(k.outgrown)
+	runs, long := k.total+float64(k.reclassified), k.longRuns+float64(k.reclassified)
 	if runs < minClassRuns {
 		return
 	}
-	pending := LongThreshold.Seconds() * float64(k.outgrown)
+	pending := LongThreshold.Seconds() * float64(k.reclassified)
 	share := (k.longSum + pending) / max(k.sum+pending, 1e-9)
-	if runs < settledRuns && long < runs/2 {
+	if runs < stableClassRuns && long < runs/2 {
 		share = min(share, longAbove)
 	}
 	switch {
@@ -142,11 +142,11 @@
 	}
 }
 
-// decay expects k.mu to be held.
+// decay halves all counts. It expects k.mu to be held.
 func (k *RequestKind) decay() {
 	for i := range k.buckets {
 		k.buckets[i] /= 2
-		k.raw[i] /= 2
+		k.rawBuckets[i] /= 2
 	}
 	k.total /= 2
 	k.sum /= 2
@@ -156,9 +156,9 @@
 	k.sinceDecay = 0
 }
 
-// Typical returns the geometric mean of the run time, against which the speed of a worker is measured, and whether
-// there are enough observations for it.
-func (k *RequestKind) Typical() (time.Duration, bool) {
+// GeometricMean returns the geometric mean of the run time, against which the speed of a worker is measured, and
+// whether there are enough observations for it.
+func (k *RequestKind) GeometricMean() (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.total < minObservations {
@@ -171,14 +171,14 @@
 func (k *RequestKind) StragglerAfter(speed float64) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	limit := stragglerMean * time.Duration(k.mean.Load())
+	limit := stragglerMeanFactor * time.Duration(k.mean.Load())
 	if k.total >= tailObservations {
-		limit = stragglerTail * k.quantile(0.99)
+		limit = stragglerTailFactor * k.quantile(0.99)
 	}
-	return max(minStraggler, time.Duration(float64(limit)/max(speed, 0.01)))
+	return max(minStragglerAfter, time.Duration(float64(limit)/max(speed, 0.01)))
 }
 
-// ObserveOutcome records whether a task of a job succeeded and returns what it says of the worker.
+// ObserveOutcome records whether a task of a job succeeded and returns the evidence that it gives about the worker.
 func (k *RequestKind) ObserveOutcome(worker string, job uint64, failed bool, now time.Time) FailureCause {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -186,31 +186,31 @@
 	return k.attribution.Observe(worker, job, failed, now)
 }
 
-// FailsEverywhere reports whether the kind fails wherever it runs.
+// FailsEverywhere reports whether the kind fails on every worker.
 func (k *RequestKind) FailsEverywhere(workers int, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.attribution.FailsEverywhere(workers, time.Duration(k.mean.Load()), now)
 }
 
-// Trial reports whether a job of a hopeless kind may be let through at now.
-func (k *RequestKind) Trial(now time.Time) bool {
+// AllowTrial reports whether a job of a kind that fails everywhere may be admitted at now as a trial.
+func (k *RequestKind) AllowTrial(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.attribution.Trial(now)
+	return k.attribution.AllowTrial(now)
 }
 
 // Expected returns the mean run time on a worker of speed 1.
 func (k *RequestKind) Expected() time.Duration { return time.Duration(k.mean.Load()) }
 
-// Quantile returns an upper bound of the run time that a share q of the tasks stays below.
+// Quantile returns an upper bound of the q-quantile of the normalised run time.
 func (k *RequestKind) Quantile(q float64) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.quantile(q)
 }
 
-// quantile expects k.mu to be held.
+// quantile implements Quantile. It expects k.mu to be held.
 func (k *RequestKind) quantile(q float64) time.Duration {
 	if k.total < minObservations {
 		return k.declared()
@@ -218,15 +218,15 @@
 	return quantileOf(&k.buckets, q*k.total)
 }
 
-// Tail returns the run time that a share p of the tasks exceed on the workers that run them. The share is at least 1%:
-// less cannot be told from the observations.
-func (k *RequestKind) Tail(p float64) time.Duration {
+// TailRunTime returns the measured run time that a share p of the tasks exceed. Shares below 1% are treated as 1%,
+// because the observations do not suffice for less.
+func (k *RequestKind) TailRunTime(p float64) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.total < minObservations {
 		return k.declared()
 	}
-	return quantileOf(&k.raw, (1-max(p, 0.01))*k.total)
+	return quantileOf(&k.rawBuckets, (1-max(p, 0.01))*k.total)
 }
 
 func quantileOf(buckets *[bucketCount]float64, rank float64) time.Duration {
@@ -240,7 +240,7 @@
 	return bucketUpper(bucketCount - 1)
 }
 
-// Class returns the class by observation, or by declaration while there are too few observations.
+// Class returns the observed class, or the declared one while there are too few observations.
 func (k *RequestKind) Class() Class { return Class(k.class.Load()) }
 
 func (k *RequestKind) declared() time.Duration {
@@ -262,5 +262,5 @@
 	return time.Duration(float64(bucketBase) * math.Pow(bucketRatio, float64(i)))
 }
 
-// Failing reports whether the last outcome was a failure. It is cheap, for the check of each submission.
+// Failing reports whether the last outcome was a failure. It takes no lock, so that each submission can check it first.
 func (k *RequestKind) Failing() bool { return k.failing.Load() }
--- a/backend/kind_test.go
+++ b/backend/kind_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Guards against a declaration that outlives what is observed, in both directions.
+// Guards against a declared class that is kept although the observations contradict it, in both directions.
 func TestClassFollowsObservation(t *testing.T) {
 	declaredShort := NewRequestKind(KindSpec{Class: ClassShort})
 	observeMany(declaredShort, 30, 4*time.Second)
@@ -27,8 +27,8 @@
 	require.Equal(t, ClassShort, declaredLong.Class())
 }
 
-// Guards against a bimodal kind that fills the slots with its long runs, and against one with a rare long run that is
-// held under the cap of long work.
+// Guards against a bimodal kind whose long runs fill the slots for short work, and against limiting a kind with rare
+// long runs by the cap of long work.
 func TestBimodalKinds(t *testing.T) {
 	often, rarely := NewRequestKind(KindSpec{}), NewRequestKind(KindSpec{})
 	for range 30 {
@@ -41,22 +41,22 @@
 	require.Equal(t, ClassShort, rarely.Class())
 }
 
-// Guards against a kind whose tasks all hang: no run time is observed, and its later tasks would count as short.
-func TestRunningTasksReclassTheirKind(t *testing.T) {
+// Guards against a kind whose tasks all hang: without an observed run time, its later tasks would count as short.
+func TestRunningTasksReclassifyTheirKind(t *testing.T) {
 	k := NewRequestKind(KindSpec{})
 	for range 8 {
-		k.Outgrow()
+		k.AddReclassified()
 	}
 	require.Equal(t, ClassLong, k.Class())
 	for range 8 {
-		k.Shrink()
+		k.RemoveReclassified()
 	}
 	observeMany(k, 30, 100*time.Millisecond)
 	require.Equal(t, ClassShort, k.Class())
 }
 
-// Guards against an expectation that depends on the speed of the workers that happened to run the kind.
-func TestExpectationIsNormalised(t *testing.T) {
+// Guards against an expected run time that depends on the speed of the workers that have run the kind.
+func TestExpectedIsNormalised(t *testing.T) {
 	k := NewRequestKind(KindSpec{})
 	for range 100 {
 		k.Observe(400*time.Millisecond, 0.5)
@@ -65,23 +65,22 @@
 	require.InDelta(t, 0.2, k.Expected().Seconds(), 1e-6)
 }
 
-// Guards against action on a task of a kind that may not be acted on, a second action, and action before the run time
-// is far beyond the expectation.
-func TestJudge(t *testing.T) {
+// Guards against a straggler action on a task of a kind that allows none, a second action, and an action before the run
+// time is far beyond the expected one.
+func TestEvaluate(t *testing.T) {
 	k := NewRequestKind(KindSpec{Straggler: StragglerStop, Expected: 200 * time.Millisecond})
 	observeMany(k, 300, 200*time.Millisecond)
-	require.Equal(t, Step{}, k.Judge(Progress{Elapsed: time.Second}, 1))
-	require.Equal(t, Step{Outgrow: true}, k.Judge(Progress{Elapsed: 1600 * time.Millisecond}, 1))
-	late := Progress{Elapsed: 5 * time.Second, Outgrown: true}
-	require.Equal(t, Step{Act: StragglerStop}, k.Judge(late, 1))
-	late.Acted = true
-	require.Equal(t, Step{}, k.Judge(late, 1))
+	require.Equal(t, Decision{}, k.Evaluate(Progress{Elapsed: time.Second}, 1))
+	require.Equal(t, Decision{Reclassify: true}, k.Evaluate(Progress{Elapsed: 1600 * time.Millisecond}, 1))
+	late := Progress{Elapsed: 5 * time.Second, Reclassified: true}
+	require.Equal(t, Decision{Straggler: StragglerStop}, k.Evaluate(late, 1))
+	late.ActionTaken = true
+	require.Equal(t, Decision{}, k.Evaluate(late, 1))
 	wait := NewRequestKind(KindSpec{Straggler: StragglerWait})
-	require.Equal(t, Step{}, wait.Judge(Progress{Elapsed: time.Hour, Outgrown: true}, 1))
+	require.Equal(t, Decision{}, wait.Evaluate(Progress{Elapsed: time.Hour, Reclassified: true}, 1))
 }
 
-// Guards against failures of a kind or job that are held against workers, and against a bad worker whose failures are
-// not.
+// Guards against attributing failures of a kind or job to workers, and against not attributing those of a bad worker.
 func TestAttribution(t *testing.T) {
 	t.Run("worker", func(t *testing.T) {
 		var a Attribution
@@ -95,8 +94,8 @@
 		}
 		require.True(t, a.FailsEverywhere(50, 0, epoch))
 		require.False(t, a.FailsEverywhere(50, time.Second, epoch), "tasks on other workers may still run")
-		require.True(t, a.Trial(epoch))
-		require.False(t, a.Trial(epoch.Add(time.Second)))
+		require.True(t, a.AllowTrial(epoch))
+		require.False(t, a.AllowTrial(epoch.Add(time.Second)))
 		a.Observe("a", 99, false, epoch)
 		require.False(t, a.FailsEverywhere(50, 0, epoch))
 	})
@@ -119,8 +118,8 @@
 	})
 }
 
-// Guards against memory that grows with workers and jobs of the past, and against counts that go out of step.
-func TestAttributionForgets(t *testing.T) {
+// Guards against memory that grows with past workers and jobs, and against inconsistent counts.
+func TestAttributionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Attribution
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -131,7 +130,7 @@
 			require.GreaterOrEqual(t, b.Expected, 0.0)
 			require.LessOrEqual(t, b.Expected, 1.0)
 		}
-		require.LessOrEqual(t, len(a.jobs), recentJobs)
+		require.LessOrEqual(t, len(a.jobs), maxFailedJobs)
 		a.Observe("z", 999, false, now.Add(time.Hour))
 		require.LessOrEqual(t, len(a.workers), 21)
 	})
--- a/backend/progress.go
+++ b/backend/progress.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Progress is what is known of a running task.
+// Progress is the state of a running task.
 type Progress struct {
 	Elapsed time.Duration
 	Class   Class
-	// Outgrown says that the task has been counted as long already, Acted that its straggler action was taken.
-	Outgrown bool
-	Acted    bool
+	// Reclassified is set if the task already counts as long, ActionTaken if its straggler action was taken.
+	Reclassified bool
+	ActionTaken  bool
 }
 
-// Step is what is to be done about a running task.
-type Step struct {
-	Outgrow bool
-	Act     StragglerAction
+// Decision lists the actions to take for a running task: whether to reclassify it as long, and a straggler action.
+type Decision struct {
+	Reclassify bool
+	Straggler  StragglerAction
 }
 
-// Judge compares the progress of a task on a worker of the given speed with the expectation for its kind.
-func (k *RequestKind) Judge(p Progress, speed float64) Step {
-	var s Step
+// Evaluate compares the progress of a task on a worker of the given speed with the run times of its kind.
+func (k *RequestKind) Evaluate(p Progress, speed float64) Decision {
+	var d Decision
 	if p.Elapsed <= LongThreshold {
-		return s
+		return d
 	}
-	s.Outgrow = p.Class == ClassShort && !p.Outgrown
+	d.Reclassify = p.Class == ClassShort && !p.Reclassified
 	action := k.Spec().Straggler
-	if !p.Acted && action != StragglerWait && p.Elapsed > k.StragglerAfter(speed) {
-		s.Act = action
+	if !p.ActionTaken && action != StragglerWait && p.Elapsed > k.StragglerAfter(speed) {
+		d.Straggler = action
 	}
-	return s
+	return d
 }
--- a/backend/redeclare.go
+++ b/backend/redeclare.go
@@ -1,6 +1,6 @@
 package backend
 
-// Redeclare replaces the declaration and keeps the observed run times.
+// Redeclare replaces the declaration of the kind and keeps its observations.
 func (k *RequestKind) Redeclare(spec KindSpec) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -8,13 +8,13 @@
 	if k.total < minObservations {
 		k.mean.Store(int64(k.declared()))
 	}
-	if k.total+float64(k.outgrown) < minClassRuns {
+	if k.total+float64(k.reclassified) < minClassRuns {
 		k.class.Store(uint32(spec.Class))
 	}
 }
 
-// Redeclare replaces the declared kinds. A kind of the same name keeps its observed run times; tasks of a kind that is
-// no longer declared keep the kind until they end.
+// Redeclare replaces the declared kinds. A kind with the same name keeps its observations; tasks of a kind that is no
+// longer declared keep using it until they end.
 func (s *Service) Redeclare(specs []KindSpec) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/backend/service.go
+++ b/backend/service.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Class separates short from long work.
+// Class distinguishes short from long work.
 type Class uint8
 
 // Classes.
@@ -22,7 +22,7 @@
 	return "short"
 }
 
-// Idempotency says whether a caller may submit a request again after an unknown outcome.
+// Idempotency determines whether a caller may submit a request again after an unknown outcome.
 type Idempotency uint8
 
 // Idempotency levels, as in the standard option of protobuf methods.
@@ -32,7 +32,7 @@
 	NoSideEffects
 )
 
-// StragglerAction is what may be done to a task that runs far beyond its class.
+// StragglerAction is the action to take on a task that runs far longer than others of its kind.
 type StragglerAction uint8
 
 // Straggler actions.
@@ -43,7 +43,7 @@
 	StragglerStop
 )
 
-// KindSpec is what the schema file declares of a request kind.
+// KindSpec is the declaration of a request kind in the schema file.
 type KindSpec struct {
 	Name        string
 	Idempotency Idempotency
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		last = k
-		if k.Failing() && k.FailsEverywhere(d.workersOf(service), now) && !k.Trial(now) {
+		if k.Failing() && k.FailsEverywhere(d.workersOf(service), now) && !k.AllowTrial(now) {
 			return fault.With(fault.Refused, "kind fails", "request kind %s fails on every worker", k.Spec().Name)
 		}
 	}
@@ -109,7 +109,7 @@
 		l := &loads[it.Class]
 		if it.Kind != last {
 			last = it.Kind
-			l.Longest = max(l.Longest, last.Tail(tailShare/float64(len(items))))
+			l.Longest = max(l.Longest, last.TailRunTime(tailShare/float64(len(items))))
 		}
 		l.Deadline = deadline
 		l.Work += it.Expected
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -29,15 +29,15 @@
 	kind := a.Item.Kind
 	if r.Outcome == contract.OutcomeDone {
 		kind.Observe(r.RunTime, w.Speed())
-		if typical, ok := kind.Typical(); ok {
+		if typical, ok := kind.GeometricMean(); ok {
 			w.ObserveRun(r.RunTime, typical)
 		}
 	}
 	failed := r.Outcome != contract.OutcomeDone
-	blame := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
-	d.retract(blame, now)
+	cause := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
+	d.retract(cause, now)
 	d.updateHealth(w, machine.Evidence{
-		Failed: failed, Proven: blame.Proven, Explained: blame.Explained, Expected: blame.Expected,
+		Failed: failed, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
 	}, now)
 	if failed && kind.FailsEverywhere(d.workersOf(w.Spec().Service), now) {
 		d.failWaiting(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
@@ -50,9 +50,9 @@
 	if !ok {
 		return
 	}
-	blame := sched.observeStart(a, true, now)
+	cause := sched.observeStart(a, true, now)
 	d.updateHealth(w, machine.Evidence{
-		Rejected: true, Proven: blame.Proven, Explained: blame.Explained, Expected: blame.Expected,
+		Rejected: true, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
 	}, now)
 }
 
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -121,7 +121,9 @@
 }
 
 // newFixture starts a dispatcher with n workers named a, b, ... It must be called in a synctest bubble.
-func newFixture(n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome)) *fixture {
+func newFixture(
+	n, slots int, kinds []backend.KindSpec, run func(StartRequest) (time.Duration, contract.Outcome),
+) *fixture {
 	b := &fixture{
 		table: contract.NewJobTable(1, 7), fleet: machine.NewFleet(),
 		workers: &fakeWorkers{
@@ -180,7 +182,7 @@
 }
 
 // Guards against a worker that fails every task immediately and, as it is always free, attracts all the work.
-func TestFailingWorkerIsQuarantined(t *testing.T) {
+func TestFailingWorkerGetsFewTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(5, 4, []backend.KindSpec{testKind}, func(r StartRequest) (time.Duration, contract.Outcome) {
 			if r.Worker == "a" {
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -52,7 +52,7 @@
 	}
 	reclassified, actionTaken, released := d.tasks.remove(task)
 	if reclassified {
-		a.Item.Kind.Shrink()
+		a.Item.Kind.RemoveReclassified()
 	}
 	// The slot may have been reclassified as held by long work, also while the start was in doubt.
 	a.Slot = task.assignment.Slot
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -133,9 +133,9 @@
 
 // pendingAction lists the actions for a running task. They are carried out after the lock is released.
 type pendingAction struct {
-	task  *runningTask
-	renew bool
-	step  backend.Step
+	task     *runningTask
+	renew    bool
+	decision backend.Decision
 }
 
 // pendingActions returns the actions that are due at now for all running tasks.
@@ -145,7 +145,7 @@
 		s := &r.shards[i]
 		s.mu.Lock()
 		for _, t := range s.tasks {
-			if d := t.pendingAction(now, speed); d.renew || d.step != (backend.Step{}) {
+			if d := t.pendingAction(now, speed); d.renew || d.decision != (backend.Decision{}) {
 				out = append(out, d)
 			}
 		}
@@ -166,11 +166,11 @@
 		return d
 	}
 	item := &t.assignment.Item
-	d.step = item.Kind.Judge(backend.Progress{
-		Elapsed: elapsed, Class: item.Class, Outgrown: t.reclassified, Acted: t.actionTaken,
+	d.decision = item.Kind.Evaluate(backend.Progress{
+		Elapsed: elapsed, Class: item.Class, Reclassified: t.reclassified, ActionTaken: t.actionTaken,
 	}, speed(t.assignment.Slot.Worker))
-	t.reclassified = t.reclassified || d.step.Outgrow
-	t.actionTaken = t.actionTaken || d.step.Act != backend.StragglerWait
+	t.reclassified = t.reclassified || d.decision.Reclassify
+	t.actionTaken = t.actionTaken || d.decision.Straggler != backend.StragglerWait
 	return d
 }
 
@@ -191,7 +191,7 @@
 		return
 	}
 	for _, x := range d.tasks.pendingActions(now, d.workerSpeed) {
-		if x.step.Outgrow {
+		if x.decision.Reclassify {
 			d.reclassify(x.task)
 		}
 		if d.o.Control == nil {
@@ -200,10 +200,10 @@
 		if x.renew {
 			d.running.Go(func() { d.renew(x.task) })
 		}
-		if x.step.Act != backend.StragglerWait {
+		if x.decision.Straggler != backend.StragglerWait {
 			d.counters.stragglers.Inc(1)
 			d.o.Timeline.Task(timeline.TaskStraggling, x.task.req.Ticket.Task, x.task.req.Worker, "straggler")
-			d.running.Go(func() { d.applyAction(x.task, x.step.Act) })
+			d.running.Go(func() { d.applyAction(x.task, x.decision.Straggler) })
 		}
 	}
 }
@@ -212,7 +212,7 @@
 func (d *Dispatcher) reclassify(t *runningTask) {
 	d.counters.reclassified.Inc(1)
 	d.o.Timeline.Task(timeline.TaskStraggling, t.req.Ticket.Task, t.req.Worker, "outgrew its class")
-	t.assignment.Item.Kind.Outgrow()
+	t.assignment.Item.Kind.AddReclassified()
 	if d.tasks.markLong(t) && d.o.SlotOutgrown != nil {
 		d.o.SlotOutgrown(t.scheduler.service.Name(), t.req.Worker)
 	}
