--- a/config/check.go
+++ b/config/check.go
@@ -15,59 +15,60 @@
 const (
 	maxWeight = 1e6
 	maxSlots  = 1 << 20
-	// maxServiceBytes bounds the schema text of one service, so that a snapshot stays within the limits of a record.
+	// maxServiceBytes bounds the schema text of one service so that a snapshot fits into one log record.
 	maxServiceBytes = 256 << 10
 )
 
-// Place is a finding in a configuration document: the section and entry, and the line within a schema text.
-type Place struct {
+// DocumentFinding is a fault in a configuration document. Path names the section and entry; Line is the line within a
+// schema text.
+type DocumentFinding struct {
 	Path   string
 	Line   int
 	Reason string
 }
 
 // String returns the form shown to operators.
-func (p Place) String() string {
-	if p.Line > 0 {
-		return fmt.Sprintf("%s:%d: %s", p.Path, p.Line, p.Reason)
+func (f DocumentFinding) String() string {
+	if f.Line > 0 {
+		return fmt.Sprintf("%s:%d: %s", f.Path, f.Line, f.Reason)
 	}
-	return p.Path + ": " + p.Reason
+	return f.Path + ": " + f.Reason
 }
 
-// Check returns the faults of a document. It depends on nothing but the document, since all readers of the log must
-// come to the same decision.
+// Check returns the faults of a document. The result depends only on the document, because all readers of the log must
+// reach the same decision.
 func Check(d contract.ConfigDocument) []string {
 	var out []string
-	for _, p := range CheckDocument(d) {
-		out = append(out, p.String())
+	for _, f := range CheckDocument(d) {
+		out = append(out, f.String())
 	}
 	return out
 }
 
-// CheckDocument returns the faults of a document with their places, in a fixed order.
-func CheckDocument(d contract.ConfigDocument) []Place {
+// CheckDocument returns the faults of a document with their positions, in a fixed order.
+func CheckDocument(d contract.ConfigDocument) []DocumentFinding {
 	out := checkServices(d)
 	out = append(out, checkKinds(d)...)
 	for _, name := range keys(d.Customers) {
 		if w := d.Customers[name].Weight; !(w > 0 && w <= maxWeight) {
-			out = append(out, Place{Path: "customers." + name + ".weight", Reason: "must be above 0 and at most 1e6"})
+			out = append(out, DocumentFinding{Path: "customers." + name + ".weight", Reason: "must be above 0 and at most 1e6"})
 		}
 	}
 	out = append(out, checkTeams(d)...)
 	for _, name := range keys(d.WorkerClasses) {
 		c := d.WorkerClasses[name]
 		if c.Slots < 0 || c.Slots > maxSlots || c.Connections < 0 || c.Connections > 64 {
-			out = append(out, Place{Path: "worker_classes." + name, Reason: "slots or connections are out of range"})
+			out = append(out, DocumentFinding{Path: "worker_classes." + name, Reason: "slots or connections are out of range"})
 		}
 	}
 	return out
 }
 
-func checkServices(d contract.ConfigDocument) []Place {
-	var out []Place
+func checkServices(d contract.ConfigDocument) []DocumentFinding {
+	var out []DocumentFinding
 	for _, name := range keys(d.Services) {
 		if len(d.Services[name].Schema) > maxServiceBytes {
-			out = append(out, Place{Path: "services." + name, Reason: fmt.Sprintf("exceeds %d bytes", maxServiceBytes)})
+			out = append(out, DocumentFinding{Path: "services." + name, Reason: fmt.Sprintf("exceeds %d bytes", maxServiceBytes)})
 		}
 	}
 	if len(out) > 0 || len(d.Services) == 0 {
@@ -75,7 +76,7 @@
 	}
 	_, findings := Services(d)
 	for _, f := range findings {
-		out = append(out, Place{Path: "services." + f.File, Line: f.Line, Reason: f.Reason})
+		out = append(out, DocumentFinding{Path: "services." + f.File, Line: f.Line, Reason: f.Reason})
 	}
 	return out
 }
@@ -92,11 +93,11 @@
 	return schema.Load(src, keys(d.Services)...)
 }
 
-func checkKinds(d contract.ConfigDocument) []Place {
-	var out []Place
+func checkKinds(d contract.ConfigDocument) []DocumentFinding {
+	var out []DocumentFinding
 	for _, name := range keys(d.Kinds) {
 		k := d.Kinds[name]
-		add := func(reason string) { out = append(out, Place{Path: "kinds." + name, Reason: reason}) }
+		add := func(reason string) { out = append(out, DocumentFinding{Path: "kinds." + name, Reason: reason}) }
 		if k.DeadlineMS < 0 || k.ExpectedMS < 0 || k.Weight < 0 {
 			add("values must not be negative")
 		}
@@ -107,11 +108,11 @@
 	return out
 }
 
-func checkTeams(d contract.ConfigDocument) []Place {
-	var out []Place
+func checkTeams(d contract.ConfigDocument) []DocumentFinding {
+	var out []DocumentFinding
 	for _, name := range keys(d.Teams) {
 		t := d.Teams[name]
-		add := func(reason string) { out = append(out, Place{Path: "teams." + name, Reason: reason}) }
+		add := func(reason string) { out = append(out, DocumentFinding{Path: "teams." + name, Reason: reason}) }
 		owner, team, ok := strings.Cut(name, "/")
 		if !ok || team == "" {
 			add("name must be customer/team")
@@ -128,7 +129,7 @@
 	return out
 }
 
-// Customers returns the customers and teams of a document with its revision.
+// Customers returns the customer settings of a document at the given revision.
 func Customers(revision uint64, d contract.ConfigDocument) customer.Settings {
 	s := customer.Settings{Revision: revision}
 	for _, name := range keys(d.Customers) {
--- a/config/document.go
+++ b/config/document.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// document reads a TOML file into a struct and collects all findings on the way. The decoder of the library stops at
-// the first value of a wrong type, hence the walk over the parser's expressions.
+// document reads a TOML file into a struct and collects all findings. The library's decoder stops at the first
+// value of a wrong type, so the document walks the expressions of the parser itself.
 type document struct {
 	file     string
 	text     []byte
@@ -21,11 +21,11 @@
 	tables   map[string]bool
 	lines    map[string]int
 	findings Findings
-	// broken says that the walk ended at a syntax error, so that missing keys prove nothing.
+	// broken is set if the walk ended at a syntax error: a missing key may then follow the error.
 	broken bool
 }
 
-// readDocument sets the fields of the struct that into points to.
+// readDocument parses text into the struct that into points to.
 func readDocument(file string, text []byte, into any) *document {
 	d := &document{
 		file: file, text: text, fields: make(map[string]reflect.Value), tables: make(map[string]bool),
@@ -37,7 +37,7 @@
 	return d
 }
 
-// collect finds the settable fields by their keys.
+// collect indexes the fields of a struct by their dotted keys.
 func (d *document) collect(prefix string, v reflect.Value) {
 	for i := range v.NumField() {
 		name, ok := v.Type().Field(i).Tag.Lookup("toml")
@@ -109,11 +109,11 @@
 	}
 }
 
-// seen records the line of a key and reports a repetition.
+// seen records the line of a key. If the key is repeated, it adds a finding and returns true.
 func (d *document) seen(path string, line int) bool {
 	first, ok := d.lines[path]
 	if ok {
-		d.add(line, path, "is set twice; the first time on line %d", first)
+		d.add(line, path, "is set twice; first set on line %d", first)
 		return true
 	}
 	d.lines[path] = line
@@ -141,13 +141,13 @@
 			d.add(line, path, "%s", reason)
 		}
 	case table != "" && !d.tables[table]:
-		// The unknown table has been reported.
+		// The unknown table is already reported.
 	default:
 		d.add(line, path, "unknown key")
 	}
 }
 
-// checkSyntax reports what the walk does not see: the first violation of the TOML grammar.
+// checkSyntax reports the first violation of the TOML grammar, which the walk does not detect.
 func (d *document) checkSyntax() {
 	var any map[string]any
 	err := toml.Unmarshal(d.text, &any)
@@ -162,7 +162,7 @@
 	line, _ := decode.Position()
 	for _, f := range d.findings {
 		if f.Line == line {
-			// The walk has described the same fault, such as a repeated key.
+			// The walk has already reported the same fault, such as a repeated key.
 			return
 		}
 	}
@@ -171,7 +171,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// assign sets a field and returns the reason if the value does not fit.
+// assign sets a field. It returns why the value does not fit, or an empty string.
 func assign(f reflect.Value, n *unstable.Node) string {
 	if f.Type() == durationType {
 		return assignDuration(f, n)
@@ -194,7 +194,7 @@
 	case reflect.Slice:
 		return assignStrings(f, n)
 	default:
-		return "has a type that settings do not support"
+		return "has an unsupported type"
 	}
 	return ""
 }
@@ -262,13 +262,13 @@
 	return ""
 }
 
-// describe names the type of a value for operators.
+// describe names the type of a value in findings.
 func describe(n *unstable.Node) string {
 	switch n.Kind {
 	case unstable.String:
 		return "a string"
 	case unstable.Bool:
-		return "a truth value"
+		return "a boolean"
 	case unstable.Integer:
 		return "an integer"
 	case unstable.Float:
--- a/config/edge.go
+++ b/config/edge.go
@@ -20,7 +20,7 @@
 	lines map[string]int
 }
 
-// EdgeVM names the machine. CPUShare is the share of a core that it has.
+// EdgeVM identifies the machine. CPUShare is its share of a CPU core.
 type EdgeVM struct {
 	ID            string  `toml:"id"`
 	FailureDomain string  `toml:"failure_domain"`
@@ -32,7 +32,7 @@
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
 	Peers     string `toml:"peers"`
-	// Advertise is where other members reach the peers address, if that differs from it.
+	// Advertise is the address at which other members reach Peers, if it differs from Peers.
 	Advertise string `toml:"advertise"`
 	Metrics   string `toml:"metrics"`
 }
@@ -42,12 +42,12 @@
 	Address string `toml:"address"`
 }
 
-// EdgeRuns bounds the runs on workers. LeaseMs is the longest lease that workers grant.
+// EdgeRuns bounds the runs on workers. LeaseMs is the longest lease of a run, in milliseconds.
 type EdgeRuns struct {
 	LeaseMs int `toml:"lease_ms"`
 }
 
-// EdgeStop bounds a graceful stop. GraceS is the time between SIGTERM and the end of the process, in seconds.
+// EdgeStop bounds a graceful stop. GraceS is the time from SIGTERM to the exit of the process, in seconds.
 type EdgeStop struct {
 	GraceS float64 `toml:"grace_s"`
 }
@@ -55,10 +55,10 @@
 // Lease returns the longest lease of a run.
 func (e Edge) Lease() time.Duration { return time.Duration(e.Runs.LeaseMs) * time.Millisecond }
 
-// Grace returns the time that a stop may take.
+// Grace returns the time allowed for a graceful stop.
 func (e Edge) Grace() time.Duration { return time.Duration(e.Stop.GraceS * float64(time.Second)) }
 
-// NeedsRestart reports whether other settings differ from these in more than the log's level.
+// NeedsRestart reports whether o differs from e in anything but the log level.
 func (e Edge) NeedsRestart(o Edge) bool {
 	return e.VM != o.VM || e.Listen != o.Listen || e.Store != o.Store || e.Runs != o.Runs || e.Stop != o.Stop ||
 		e.Log.Format != o.Log.Format
@@ -99,7 +99,7 @@
 	return f
 }
 
-// minLease leaves time for three renewals and the worker's own delays.
+// minLease leaves time for three renewals and for delays at the worker.
 const minLease = 300 * time.Millisecond
 
 func (e Edge) validate() Findings {
--- a/config/edge_test.go
+++ b/config/edge_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// render fills the template of the platform in with values as they appear on a machine.
+// render fills in the settings template with the values that the platform sets on a machine.
 func render(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "settings.toml"))
@@ -26,8 +26,8 @@
 	})
 }
 
-// Guards against a template that the daemon cannot read.
-func TestTemplateOfTheEdgeSettings(t *testing.T) {
+// Guards against a settings template that the daemon cannot parse.
+func TestEdgeSettingsTemplate(t *testing.T) {
 	e, err := ParseEdge("settings.toml", render(t))
 	require.NoError(t, err)
 	require.Equal(t, "edge-cork-a-1", e.VM.ID)
@@ -36,8 +36,8 @@
 	require.InDelta(t, 6, e.Grace().Seconds(), 0)
 }
 
-// Guards against settings of which only the first finding is reported, or without its line.
-func TestAllFindingsOfTheEdgeSettings(t *testing.T) {
+// Guards against reporting only the first finding, or findings without a line.
+func TestEdgeSettingsReportAllFindings(t *testing.T) {
 	_, err := ParseEdge("edge.toml", []byte("[vm]\nid = \"\"\nfailure_domain = \"a\"\ncpu_share = 0\n[listen]\nfront = \"x\"\n"))
 	require.ErrorContains(t, err, "edge.toml:2: vm.id")
 	require.ErrorContains(t, err, "edge.toml:4: vm.cpu_share")
--- a/config/entry.go
+++ b/config/entry.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Defaults of settings that a file may leave out.
+// Defaults of optional settings.
 const (
 	defaultConnections  = 8
 	defaultDrainTimeout = 60 * time.Second
@@ -30,7 +30,7 @@
 	lines map[string]int
 }
 
-// VM names the machine.
+// VM identifies the machine.
 type VM struct {
 	ID     string `toml:"id"`
 	Domain uint16 `toml:"failure_domain"`
@@ -42,24 +42,24 @@
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 	Admin   string `toml:"admin"`
-	// AdminBeyondLoopback allows an admin address that other machines reach. The admin side has no authentication.
+	// AdminBeyondLoopback allows an admin address other than loopback. The admin server has no authentication.
 	AdminBeyondLoopback bool `toml:"admin_beyond_loopback"`
 }
 
-// TLS holds the files that secure connections. Without files a side uses plain TCP.
+// TLS holds the certificate files of the callers' and peers' connections. Without files a connection uses plain TCP.
 type TLS struct {
 	Callers CallersTLS `toml:"callers"`
 	Peers   PeersTLS   `toml:"peers"`
 }
 
-// CallersTLS secures the callers' side. With ClientCA, callers need a certificate that it has signed.
+// CallersTLS secures connections from callers. With ClientCA, callers must present a certificate that it has signed.
 type CallersTLS struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	ClientCA    string `toml:"client_ca"`
 }
 
-// PeersTLS secures the links between entry VMs; each side has to show a certificate that CA has signed.
+// PeersTLS secures the links between entry VMs; both ends must present a certificate that CA has signed.
 type PeersTLS struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
@@ -77,20 +77,20 @@
 	Files []string `toml:"files"`
 }
 
-// Workers holds the limits towards workers.
+// Workers holds the limits on connections to workers.
 type Workers struct {
 	Connections int `toml:"connections_per_worker"`
 }
 
-// Stop holds the limits of a planned stop.
+// Stop holds the limits of a graceful stop.
 type Stop struct {
-	// DrainTimeout bounds the time in which running tasks may end.
+	// DrainTimeout bounds the wait for running tasks during a stop.
 	DrainTimeout time.Duration `toml:"drain_timeout"`
 }
 
-// Timeline holds the size of the ring of events.
+// Timeline holds the size of the event ring.
 type Timeline struct {
-	// Events is the number of events that the process keeps; 0 records nothing.
+	// Events is the number of events that the process keeps; 0 disables recording.
 	Events int `toml:"events"`
 }
 
@@ -100,7 +100,7 @@
 	Format string `toml:"format"`
 }
 
-// DefaultEntry returns the settings that a file may leave out.
+// DefaultEntry returns the default settings.
 func DefaultEntry() Entry {
 	return Entry{
 		Listen:   Listen{Callers: "127.0.0.1:7001", Peers: "127.0.0.1:7002", Admin: "127.0.0.1:7003"},
@@ -131,7 +131,7 @@
 	}
 	findings := d.findings
 	for _, f := range e.validate() {
-		// A value of a wrong type has left the default, whose validation says nothing about the file.
+		// A field whose value has the wrong type keeps its default, so findings about it do not concern the file.
 		_, set := d.lines[f.Key]
 		if !reported[f.Key] && (set || !d.broken) {
 			findings = append(findings, f)
@@ -143,8 +143,8 @@
 	return e, nil
 }
 
-// Finding returns a finding at the line of a key of this file. A key that the file lacks is reported at the line of
-// the innermost table that should hold it, else at the first line.
+// Finding returns a finding at the line of a key. A key that is missing from the file is reported at the line of the
+// innermost enclosing table, or at the first line.
 func (e Entry) Finding(key, reason string) Finding {
 	f := Finding{File: e.file, Line: 1, Key: key, Reason: reason}
 	for path := key; path != ""; {
--- a/config/entry_test.go
+++ b/config/entry_test.go
@@ -20,8 +20,8 @@
 files = ["a.proto"] # one file
 `
 
-// Guards against findings that stop at the first fault, lack their line, or come in another order than in the file.
-func TestAllFindingsInFileOrder(t *testing.T) {
+// Guards against reporting only the first finding, findings without a line, or findings out of file order.
+func TestEntrySettingsReportAllFindings(t *testing.T) {
 	text := `[vm]
 id = 7
 failure_domain = "one"
@@ -60,14 +60,14 @@
 entry.toml:12: schema.files: must be a list of strings, not a list with an integer
 entry.toml:13: nothing: unknown table
 entry.toml:16: stop.drain_timeout: must be a duration such as "60s", not "soon"
-entry.toml:19: workers.connections_per_worker: is set twice; the first time on line 18
-entry.toml:21: log.level: "loud" is none of debug, info, warn, error
-entry.toml:22: log.format: must be a string, not a truth value
+entry.toml:19: workers.connections_per_worker: is set twice; first set on line 18
+entry.toml:21: log.level: "loud" is not one of debug, info, warn, error
+entry.toml:22: log.format: must be a string, not a boolean
 entry.toml:23: tls.peers.certificate: must be set together with the other files of its table
 entry.toml:23: tls.peers.ca: must be set together with the other files of its table`, err.Error())
 }
 
-// Guards against defaults that get lost and against values that do not arrive.
+// Guards against defaults that are not applied and against values that are not read.
 func TestCompleteSettings(t *testing.T) {
 	e, err := ParseEntry("entry.toml", []byte(complete+`[stop]
 drain_timeout = "90s"
@@ -88,7 +88,7 @@
 	require.Equal(t, 8, e.Finding("schema.files", "").Line)
 }
 
-// Guards against a syntax error that hides the findings before it.
+// Guards against a syntax error that hides the findings on earlier lines.
 func TestSyntaxError(t *testing.T) {
 	_, err := ParseEntry("entry.toml", []byte("[vm]\nid = 1\nregion = \n[schema]\n"))
 	var f Findings
@@ -97,7 +97,7 @@
 	require.Equal(t, 3, f[1].Line)
 }
 
-// Guards against examples that no longer load.
+// Guards against example files that do not load.
 func TestExamplesLoad(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "examples", "entry-*.toml"))
 	require.NoError(t, err)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against input that makes the reader panic, or that yields findings without a reason.
+// Guards against input that makes the parser panic or that yields findings without a reason.
 func FuzzParseEntry(f *testing.F) {
 	for _, seed := range []string{complete, "", "[vm", "a.b.c=1", "vm={id=1,id=2}", "[[vm]]\n[vm]", "vm=3", "x=1979-05-27T07:32:00Z", "[schema]\nfiles=[[1],{}]", "[vm]\nfailure_domain=0xfffff", "'a'.\"b\"=nan", "\xff"} {
 		f.Add([]byte(seed))
@@ -131,7 +131,7 @@
 	})
 }
 
-// Guards against a setting that operators cannot find on their page.
+// Guards against a setting that docs/OPERATIONS.md does not describe.
 func TestEverySettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
--- a/config/finding.go
+++ b/config/finding.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Finding is a fault in a settings file. Line is 0 if the fault has no place in the file.
+// Finding is a fault in a settings file. Line is 0 if the fault has no position in the file.
 type Finding struct {
 	File   string
 	Line   int
@@ -16,23 +16,23 @@
 
 // String returns the form shown to operators.
 func (f Finding) String() string {
-	place := f.File
+	position := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", f.File, f.Line)
+		position = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
 	if f.Key == "" {
-		return fmt.Sprintf("%s: %s", place, f.Reason)
+		return fmt.Sprintf("%s: %s", position, f.Reason)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, f.Key, f.Reason)
+	return fmt.Sprintf("%s: %s: %s", position, f.Key, f.Reason)
 }
 
-// Error makes a single finding usable as an error.
+// Error implements error.
 func (f Finding) Error() string { return f.String() }
 
-// Findings are all faults of a file.
+// Findings lists the faults of a file.
 type Findings []Finding
 
-// Error lists all findings, a line each.
+// Error returns all findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
--- a/config/patch.go
+++ b/config/patch.go
@@ -12,7 +12,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// patchFields lists the fields of each section's entries in an operator's file.
+// patchFields lists the allowed fields of the entries in each section of a patch file.
 var patchFields = map[string][]string{
 	"services":       {"schema", "schema_file"},
 	"kinds":          {"deadline_ms", "expected_ms", "class", "weight"},
@@ -21,7 +21,7 @@
 	"worker_classes": {"slots", "connections"},
 }
 
-// patchFile is an operator's file: a patch whose services may name a file instead of holding the schema text.
+// patchFile is a patch as operators write it: a service may name a schema file instead of holding the schema text.
 type patchFile struct {
 	contract.ConfigPatch
 	Services map[string]*serviceFile `json:"services"`
@@ -32,24 +32,24 @@
 	SchemaFile string `json:"schema_file"`
 }
 
-// ParsePatch reads an operator's file and returns all findings at once. readFile reads the schema files that it names.
+// ParsePatch parses a patch file and returns all findings at once. readFile reads the schema files that it names.
 func ParsePatch(file string, text []byte, readFile func(string) ([]byte, error)) (contract.ConfigPatch, Findings) {
 	p, _, findings := parsePatch(file, text, readFile)
 	return p, findings
 }
 
-// CheckPatch reads an operator's file and checks the document that it makes of the given one.
-func CheckPatch(file string, text []byte, readFile func(string) ([]byte, error), onto contract.ConfigDocument) (contract.ConfigPatch, Findings) {
+// CheckPatch parses a patch file and checks the document that results from applying it to base.
+func CheckPatch(file string, text []byte, readFile func(string) ([]byte, error), base contract.ConfigDocument) (contract.ConfigPatch, Findings) {
 	p, lines, findings := parsePatch(file, text, readFile)
 	if len(findings) > 0 {
 		return p, findings
 	}
-	for _, place := range CheckDocument(onto.Patched(p)) {
-		reason := place.Reason
-		if place.Line > 0 {
-			reason = fmt.Sprintf("schema line %d: %s", place.Line, reason)
+	for _, found := range CheckDocument(base.Patched(p)) {
+		reason := found.Reason
+		if found.Line > 0 {
+			reason = fmt.Sprintf("schema line %d: %s", found.Line, reason)
 		}
-		findings = append(findings, Finding{File: file, Line: lines[place.Path], Key: place.Path, Reason: reason})
+		findings = append(findings, Finding{File: file, Line: lines[found.Path], Key: found.Path, Reason: reason})
 	}
 	return p, findings
 }
@@ -96,7 +96,7 @@
 	return 1 + bytes.Count(text[:min(int(offset), len(text))], []byte("\n"))
 }
 
-// patchIndex walks an operator's file and notes the line of each key.
+// patchIndex walks a patch file, records the line of each key and reports unknown and repeated keys.
 type patchIndex struct {
 	file     string
 	text     []byte
--- a/config/record.go
+++ b/config/record.go
@@ -6,11 +6,11 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// EncodeRecord writes a record of the stream "config".
+// EncodeRecord encodes a record of the "config" stream.
 func EncodeRecord(r contract.ConfigRecord) ([]byte, error) { return json.Marshal(r) }
 
-// DecodeRecord reads a record. A record that is malformed or holds both a change and a snapshot is empty, so that all
-// readers skip it alike.
+// DecodeRecord decodes a record. A record that is malformed or holds both a change and a snapshot is returned empty, so
+// that all readers skip it.
 func DecodeRecord(data []byte) (contract.ConfigRecord, error) {
 	var r contract.ConfigRecord
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -22,7 +22,7 @@
 	return r, nil
 }
 
-// DecodeDocument reads a whole document as JSON.
+// DecodeDocument decodes a complete document from JSON.
 func DecodeDocument(data []byte) (contract.ConfigDocument, error) {
 	var d contract.ConfigDocument
 	err := json.Unmarshal(data, &d)
--- a/config/record_test.go
+++ b/config/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// Guards against a reader that panics on a record or that applies what it cannot write again.
+// Guards against a decoder that panics on a record or accepts one that cannot be encoded again.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"change":{"id":"i","author":"a","base":1,"patch":{"customers":{"c":{"weight":2},"d":null}}}}`))
 	f.Add([]byte(`{"snapshot":{"next":4,"revision":2,"document":{"kinds":{"s/k":{"class":"long"}}}}}`))
@@ -27,7 +27,7 @@
 	})
 }
 
-// Guards against validation that stops at the first fault or does not name its place.
+// Guards against validation that stops at the first fault or does not report its position.
 func TestCheckCollectsAllFindings(t *testing.T) {
 	found := Check(contract.ConfigDocument{
 		Services:  map[string]contract.ServiceConfig{"a.proto": {Schema: "syntax = \"proto3\";\nservice X { rpc }"}},
--- a/config/validate.go
+++ b/config/validate.go
@@ -21,7 +21,7 @@
 	logFormats = []string{"text", "json"}
 )
 
-// validation collects findings about values that have the right type.
+// validation collects findings about values of the right type.
 type validation struct {
 	entry    Entry
 	findings Findings
@@ -56,7 +56,7 @@
 	v.address("listen.callers", l.Callers)
 	v.address("listen.peers", l.Peers)
 	if l.Admin == "" {
-		// The admin side is switched off.
+		// The admin server is disabled.
 		return
 	}
 	if v.address("listen.admin", l.Admin) && !l.AdminBeyondLoopback && !isLoopback(l.Admin) {
@@ -73,7 +73,7 @@
 	return reason == ""
 }
 
-// addressFinding returns what is wrong with an address, empty for a usable one.
+// addressFinding returns why an address is invalid, or an empty string if it is valid.
 func addressFinding(a string) string {
 	host, port, err := net.SplitHostPort(a)
 	if err != nil {
@@ -98,7 +98,7 @@
 	v.url("platform.log", v.entry.Platform.Log)
 	v.url("platform.list", v.entry.Platform.List)
 	if len(v.entry.Schema.Files) == 0 {
-		v.add("schema.files", "names no schema file")
+		v.add("schema.files", "must name at least one schema file")
 	}
 }
 
@@ -115,16 +115,16 @@
 
 func (v *validation) tls() {
 	c, p := v.entry.TLS.Callers, v.entry.TLS.Peers
-	v.together("tls.callers.certificate", c.Certificate, c.Key != "" || c.ClientCA != "")
-	v.together("tls.callers.key", c.Key, c.Certificate != "" || c.ClientCA != "")
-	any := p.Certificate != "" || p.Key != "" || p.CA != ""
-	v.together("tls.peers.certificate", p.Certificate, any)
-	v.together("tls.peers.key", p.Key, any)
-	v.together("tls.peers.ca", p.CA, any)
+	v.requireIf("tls.callers.certificate", c.Certificate, c.Key != "" || c.ClientCA != "")
+	v.requireIf("tls.callers.key", c.Key, c.Certificate != "" || c.ClientCA != "")
+	peersTLS := p.Certificate != "" || p.Key != "" || p.CA != ""
+	v.requireIf("tls.peers.certificate", p.Certificate, peersTLS)
+	v.requireIf("tls.peers.key", p.Key, peersTLS)
+	v.requireIf("tls.peers.ca", p.CA, peersTLS)
 }
 
-// together reports an empty value that others of its table need.
-func (v *validation) together(key, value string, needed bool) {
+// requireIf reports an empty value that other settings of its table require.
+func (v *validation) requireIf(key, value string, needed bool) {
 	if value == "" && needed {
 		v.add(key, "must be set together with the other files of its table")
 	}
@@ -144,9 +144,9 @@
 
 func (v *validation) log() {
 	if !slices.Contains(logLevels, v.entry.Log.Level) {
-		v.add("log.level", "%q is none of debug, info, warn, error", v.entry.Log.Level)
+		v.add("log.level", "%q is not one of debug, info, warn, error", v.entry.Log.Level)
 	}
 	if !slices.Contains(logFormats, v.entry.Log.Format) {
-		v.add("log.format", "%q is none of text, json", v.entry.Log.Format)
+		v.add("log.format", "%q is not one of text, json", v.entry.Log.Format)
 	}
 }
