--- a/schema/check_test.go
+++ b/schema/check_test.go
@@ -11,16 +11,16 @@
 	"github.com/cicadadale/cicadadale/schemas"
 )
 
-func write(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	path := filepath.Join(dir, name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// Guards against a check that stops at the first fault, or that accepts a kind which the dispatcher cannot serve.
+// Guards against a check that stops at the first fault or accepts a request kind that the dispatcher cannot serve.
 func TestCheckReportsEveryFinding(t *testing.T) {
 	dir := t.TempDir()
-	a := write(t, dir, "a.proto", `syntax = "proto3";
+	a := writeFile(t, dir, "a.proto", `syntax = "proto3";
 package p.v1;
 import "cicadadale/options.proto";
 message M {}
@@ -33,7 +33,7 @@
   rpc Slow(M) returns (M) { option (cicadadale.schema.v1.request_kind) = {deadline_ms: 100, expected_ms: 200}; }
 }
 `)
-	b := write(t, dir, "b.proto", `syntax = "proto3";
+	b := writeFile(t, dir, "b.proto", `syntax = "proto3";
 package q.v1;
 import "cicadadale/options.proto";
 message M {}
@@ -60,11 +60,11 @@
 	require.Contains(t, lines[7], "b.proto:06")
 }
 
-// Guards against two files that declare the same service, of which one would win silently.
+// Guards against two files that declare the same service, one of which would silently override the other.
 func TestCheckReportsDuplicateServices(t *testing.T) {
 	dir := t.TempDir()
-	a := write(t, dir, "a.proto", schemas.Wakala)
-	b := write(t, dir, "b.proto", schemas.Wakala)
+	a := writeFile(t, dir, "a.proto", schemas.Wakala)
+	b := writeFile(t, dir, "b.proto", schemas.Wakala)
 	_, findings := LoadFiles(a, b)
 	require.NotEmpty(t, findings)
 	require.Contains(t, findings[0].Reason, "wakala.v1")
@@ -73,7 +73,7 @@
 	require.Equal(t, "another schema file has the same name", findings[0].Reason)
 }
 
-// Guards against committed stubs that differ from what the generator writes.
+// Guards against committed stubs that differ from the output of the generator.
 func TestCommittedStubsAreUpToDate(t *testing.T) {
 	for _, name := range []string{"glashaus", "wakala"} {
 		dir := filepath.Join("..", "schemas")
@@ -89,7 +89,7 @@
 	}
 }
 
-// Guards against schema text that makes the reader panic or that is refused without a reason.
+// Guards against schema text that makes the compiler panic or is rejected without a reason.
 func FuzzLoad(f *testing.F) {
 	for _, seed := range []string{schemas.Glashaus, schemas.Wakala, "", "syntax = \"proto3\";", "service S { rpc A(B) returns (stream C); }", "import \"x.proto\";", "\x00", "edition = \"2023\"; message M { M m = 1; } service S { rpc A(M) returns (M) { option idempotency_level = IDEMPOTENT; } }"} {
 		f.Add(seed)
--- a/schema/doc.go
+++ b/schema/doc.go
@@ -1,2 +1,2 @@
-// Package schema reads schema files into services and generates typed stubs for callers.
+// Package schema compiles schema files into services and generates typed stubs for callers.
 package schema
--- a/schema/generate.go
+++ b/schema/generate.go
@@ -21,7 +21,7 @@
 	Content []byte
 }
 
-// GenerateFiles returns the messages and job stubs of schema files as Go source, or all findings about the files.
+// GenerateFiles generates the Go messages and job stubs of schema files, or returns all findings about the files.
 func GenerateFiles(paths ...string) ([]Generated, []Finding, error) {
 	src, names, findings := readFiles(paths)
 	_, more := Load(src, names...)
@@ -36,7 +36,7 @@
 	return out, nil, err
 }
 
-// samePackage reports files that cannot share a directory.
+// samePackage returns an error if the files do not belong to one Go package and so cannot share a directory.
 func samePackage(files linker.Files) error {
 	first := ""
 	for i, f := range files {
@@ -81,7 +81,7 @@
 	return out, nil
 }
 
-// addDescriptors adds a file after the files that it imports, as the request requires.
+// addDescriptors adds a file and its imports; the plug-in protocol requires that imports come first.
 func addDescriptors(req *pluginpb.CodeGeneratorRequest, f protoreflect.FileDescriptor, seen map[string]bool) {
 	if seen[f.Path()] {
 		return
@@ -93,7 +93,7 @@
 	req.ProtoFile = append(req.ProtoFile, protoutil.ProtoFromFileDescriptor(f))
 }
 
-// Packages that the stubs use.
+// Packages that the generated stubs import.
 const (
 	contextPackage  = protogen.GoImportPath("context")
 	apiPackage      = protogen.GoImportPath("github.com/cicadadale/cicadadale/api")
@@ -101,7 +101,7 @@
 	rpcPackage      = protogen.GoImportPath("github.com/cicadadale/cicadadale/rpc")
 )
 
-// generateJobs writes a job stub for each service of a file.
+// generateJobs generates a job stub for each service of a file.
 func generateJobs(gen *protogen.Plugin, f *protogen.File) {
 	if len(f.Services) == 0 {
 		return
@@ -127,7 +127,7 @@
 	g.P("job *", rpcPackage.Ident("Job"))
 	g.P("}")
 	g.P()
-	g.P("// New", job, " creates a job, to which tasks are added before it is submitted.")
+	g.P("// New", job, " creates an empty job. Add tasks to it, then submit it.")
 	g.P("func New", job, "(ctx ", ctx, ", c *", rpcPackage.Ident("Client"), ", o ", rpcPackage.Ident("JobOptions"),
 		") (*", job, ", error) {")
 	g.P("j, err := ", rpcPackage.Ident("NewJob"), "(ctx, c, ", fmt.Sprintf("%q", s.Desc.FullName()), ", o)")
@@ -143,24 +143,24 @@
 		g.P("return ", body)
 		g.P("}")
 	}
-	method("ID returns the job's id, with which any process may ask after the job.",
+	method("ID returns the id of the job, with which any process can query it.",
 		"ID() "+g.QualifiedGoIdent(contractPackage.Ident("JobID")), "j.job.ID()")
-	method("Submission returns the job in untyped form, to submit it again through another client.",
+	method("Submission returns the job in untyped form, for resubmission through another client.",
 		"Submission() "+g.QualifiedGoIdent(contractPackage.Ident("Submission")), "j.job.Submission()")
 	for _, m := range s.Methods {
 		generateTask(g, job, m)
 	}
-	method("Submit hands the job over and waits for its final answer. Repeating it is safe.",
+	method("Submit submits the job and waits for its final answer. It may be repeated safely.",
 		"Submit(ctx "+ctx+") ("+answer+", error)", "j.job.Submit(ctx)")
-	method("Cancel withdraws the tasks that have not started.",
+	method("Cancel cancels the tasks that have not started.",
 		"Cancel(ctx "+ctx+") ("+answer+", error)", "j.job.Cancel(ctx)")
-	method("Reconfigure changes the deadline or priority of a job that has not ended.",
+	method("Reconfigure changes the deadline or priority of a job that has not finished.",
 		"Reconfigure(ctx "+ctx+", c "+g.QualifiedGoIdent(contractPackage.Ident("Change"))+") (*"+status+", error)",
 		"j.job.Reconfigure(ctx, c)")
-	method("Status reports the job's progress.", "Status(ctx "+ctx+") (*"+status+", error)", "j.job.Status(ctx)")
+	method("Status returns the progress of the job.", "Status(ctx "+ctx+") (*"+status+", error)", "j.job.Status(ctx)")
 }
 
-// generateTask writes the method that adds a task of one request kind.
+// generateTask generates the method that adds a task of one request kind.
 func generateTask(g *protogen.GeneratedFile, job string, m *protogen.Method) {
 	doc := strings.TrimSpace(strings.ReplaceAll(string(m.Comments.Leading), "\n", " "))
 	g.P()
--- a/schema/load.go
+++ b/schema/load.go
@@ -31,17 +31,17 @@
 	Reason string
 }
 
-// Source gives the text of a schema file by its import path.
+// Source maps import paths to the text of schema files.
 type Source map[string]string
 
-// LoadFiles reads schema files from disk. Findings name the files as they were given.
+// LoadFiles compiles schema files from disk. Findings name the files by the given paths.
 func LoadFiles(paths ...string) ([]*backend.Service, []Finding) {
 	src, names, findings := readFiles(paths)
 	services, more := Load(src, names...)
 	return services, append(findings, byPath(more, paths)...)
 }
 
-// readFiles reads files into a source by their base names, which is how schema files import each other.
+// readFiles reads files into a source by their base names, by which schema files import each other.
 func readFiles(paths []string) (Source, []string, []Finding) {
 	src := Source{}
 	var names []string
@@ -63,7 +63,7 @@
 	return src, names, findings
 }
 
-// byPath replaces base names by the paths that the operator gave.
+// byPath replaces the base names in findings by the paths that the operator gave.
 func byPath(findings []Finding, paths []string) []Finding {
 	full := make(map[string]string, len(paths))
 	for _, p := range paths {
@@ -77,7 +77,7 @@
 	return findings
 }
 
-// Load compiles schema files. The options file is built in. Files that compile are checked even if others do not.
+// Load compiles schema files. The options file is built in. Files that compile are checked even if others fail.
 func Load(src Source, names ...string) ([]*backend.Service, []Finding) {
 	files, findings := compile(src, names)
 	var services []*backend.Service
@@ -100,7 +100,7 @@
 	return services, nil
 }
 
-// ordered sorts findings by file, as given, and position.
+// ordered sorts findings by file, in the order of names, and by position.
 func ordered(findings []Finding, names []string) []Finding {
 	sort.SliceStable(findings, func(i, j int) bool {
 		a, b := findings[i], findings[j]
@@ -115,7 +115,7 @@
 	return findings
 }
 
-// compile returns the files that compile, nil in place of others.
+// compile returns the compiled files, with nil for each file that does not compile.
 func compile(src Source, names []string) (linker.Files, []Finding) {
 	all := map[string]string{optionsPath: schemas.Options}
 	for name, text := range src {
@@ -146,7 +146,7 @@
 	return files, findings
 }
 
-// Limits of options. Tasks run for seconds; a deadline beyond an hour is a mistake in the unit.
+// Limits of options. Tasks run for seconds; a deadline of more than an hour indicates a wrong unit.
 const (
 	maxMillis = int64(time.Hour / time.Millisecond)
 	maxWeight = 1000
@@ -220,7 +220,7 @@
 	return k, findings
 }
 
-// extension decodes an option. The compiler represents it dynamically, so it goes through its wire form.
+// extension decodes an option. The compiler represents options as dynamic messages, hence the encoding round trip.
 func extension(opts proto.Message, ext protoreflect.ExtensionType, into proto.Message) error {
 	wire, err := proto.Marshal(opts)
 	if err != nil {
