--- a/admin/exposition.go
+++ b/admin/exposition.go
@@ -32,7 +32,7 @@
 	return b.String()
 }
 
-// exposedName replaces what the format does not allow in a name.
+// exposedName replaces characters that the format does not allow in a name.
 func exposedName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '_' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' {
@@ -48,7 +48,7 @@
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// samplesJSON is the JSON form: numbers by name, and an object for each distribution.
+// samplesJSON returns the JSON form: a number for each counter and gauge, an object for each distribution.
 func samplesJSON(samples []sample) map[string]any {
 	out := make(map[string]any, len(samples))
 	for _, s := range samples {
--- a/admin/page.go
+++ b/admin/page.go
@@ -20,7 +20,7 @@
 	"duration": func(ms int64) string { return (time.Duration(ms) * time.Millisecond).String() },
 }).Parse(pageText))
 
-// pageView is everything that the status page shows.
+// pageView is the data of the status page.
 type pageView struct {
 	Process   ProcessView
 	Readiness Readiness
@@ -46,7 +46,7 @@
 		Process: src.Process(), Readiness: src.Readiness(), Members: src.Members(), Links: src.Links(),
 		Queues: src.Queues(), Workers: src.Workers(), Grants: src.Grants(), Quotas: src.Quotas(), Config: src.Config(),
 	}
-	for _, m := range read(s.o.Metrics) {
+	for _, m := range readAll(s.o.Metrics) {
 		value := number(m.value)
 		if m.kind == typeSummary {
 			value = number(m.quantiles[0]) + " / " + number(m.quantiles[2]) + " (p50 / p99)"
--- a/admin/sample.go
+++ b/admin/sample.go
@@ -8,33 +8,33 @@
 	"github.com/cicadadale/cicadadale/metric"
 )
 
-// Types of the exposition format.
+// Metric types of the exposition format.
 const (
 	typeCounter = "counter"
 	typeGauge   = "gauge"
 	typeSummary = "summary"
 )
 
-// nanosecondsPerSecond converts the values of timers.
+// nanosecondsPerSecond converts the values of timers to seconds.
 const nanosecondsPerSecond = 1e9
 
-// quantiles are reported of each distribution.
+// quantiles are the quantiles reported for each distribution.
 var quantiles = [...]float64{0.5, 0.95, 0.99, 0.999}
 
-// sample is the value of a metric at one moment.
+// sample is the value of a metric at one point in time.
 type sample struct {
 	name  string
 	help  string
 	kind  string
 	value float64
-	// count, sum and quantiles belong to a summary.
+	// count, sum and quantiles are set for summaries only.
 	count     int64
 	sum       float64
 	quantiles [len(quantiles)]float64
 }
 
-// read takes a sample of all metrics, ordered by name.
-func read(r metrics.Registry) []sample {
+// readAll samples all metrics, ordered by name.
+func readAll(r metrics.Registry) []sample {
 	help := map[string]string{}
 	for _, d := range metric.Descriptions() {
 		help[d.Name] = d.Help
--- a/admin/server.go
+++ b/admin/server.go
@@ -13,7 +13,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Options are the parts of an admin server.
+// Options configures an admin server.
 type Options struct {
 	Listener net.Listener
 	Source   Source
@@ -21,13 +21,13 @@
 	Metrics  metrics.Registry
 }
 
-// Server is the operators' side of a daemon.
+// Server is the admin server of a daemon.
 type Server struct {
 	o    Options
 	http *httpserve.Server
 }
 
-// Serve answers operators in the background.
+// Serve starts an admin server in the background.
 func Serve(o Options) *Server {
 	s := &Server{o: o, http: httpserve.New(o.Listener, nil)}
 	s.http.GET("/", s.page)
@@ -55,10 +55,10 @@
 	return s
 }
 
-// Address returns where operators reach the server.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.http.Address() }
 
-// Stop closes the listener and waits briefly for requests in flight.
+// Stop closes the listener and waits a short time for requests in flight.
 func (s *Server) Stop() error { return s.http.Stop() }
 
 func (s *Server) state(name string, view func() any) {
@@ -67,7 +67,7 @@
 	})
 }
 
-// list makes an empty list appear as [] and not as null.
+// list returns a non-nil slice, so that an empty list is encoded as [] rather than null.
 func list[T any](views []T) []T {
 	if views == nil {
 		return []T{}
@@ -83,7 +83,7 @@
 	c.String(http.StatusOK, "ok\n")
 }
 
-// ready answers the load balancer. The reasons are for people.
+// ready serves the readiness probe of the load balancer. The reasons are meant for operators.
 func (s *Server) ready(_ context.Context, c *app.RequestContext) {
 	r := s.o.Source.Readiness()
 	if !r.Ready {
@@ -93,9 +93,9 @@
 	c.String(http.StatusOK, "ready\n")
 }
 
-// metrics answers as JSON if the query or the Accept header asks for it, else in the Prometheus text format.
+// metrics responds with JSON if the query or the Accept header requests it, otherwise in the Prometheus text format.
 func (s *Server) metrics(_ context.Context, c *app.RequestContext) {
-	samples := read(s.o.Metrics)
+	samples := readAll(s.o.Metrics)
 	if c.Query("format") == "json" || strings.HasPrefix(string(c.GetHeader("Accept")), "application/json") {
 		c.JSON(http.StatusOK, samplesJSON(samples))
 		return
--- a/admin/server_test.go
+++ b/admin/server_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against a balancer that keeps sending callers to a VM that refuses them.
+// Guards against a load balancer that keeps sending callers to a VM that rejects them.
 func TestHealthAndReadinessFollowTheSource(t *testing.T) {
 	src := &fakeSource{readiness: Readiness{Reasons: []string{"draining", "no configuration"}}}
 	get := serveFake(t, src, metrics.NewRegistry())
@@ -72,7 +72,7 @@
 	require.Contains(t, body, "no heartbeat")
 }
 
-// Guards against metrics that a scraper cannot parse or that miss their documentation.
+// Guards against metrics that a scraper cannot parse or that lack a help text.
 func TestMetricsInBothFormats(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter(metric.JobsAccepted, r).Inc(7)
@@ -101,8 +101,8 @@
 	require.EqualValues(t, 2, got["some.time"].(map[string]any)["p99"])
 }
 
-// Guards against state that tools cannot read, and against a status page that needs scripts or lets names from
-// outside inject markup.
+// Guards against state that is not valid JSON, and against a status page that needs scripts or does not escape names
+// from outside.
 func TestStateAndPage(t *testing.T) {
 	get := serveFake(t, &fakeSource{}, metrics.NewRegistry())
 	for _, name := range []string{"members", "workers", "links", "queues", "grants", "quotas"} {
--- a/admin/view.go
+++ b/admin/view.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// Source is the daemon that the admin side shows. Its methods are safe for concurrent use.
+// Source is the daemon whose state the server shows. Its methods must be safe for concurrent use.
 type Source interface {
 	Process() ProcessView
 	// Health returns an error if the process should be replaced.
@@ -31,7 +31,7 @@
 	Unfinished    int       `json:"unfinished_jobs"`
 }
 
-// Readiness says whether the load balancer should send callers here. Reasons are empty if and only if it is ready.
+// Readiness reports whether the load balancer should send callers to this VM. Reasons is empty exactly if Ready is set.
 type Readiness struct {
 	Ready   bool     `json:"ready"`
 	Reasons []string `json:"reasons"`
@@ -59,11 +59,11 @@
 	Open    bool   `json:"open"`
 	Queued  int    `json:"queued"`
 	Unacked uint64 `json:"unacknowledged"`
-	// SilentMS is the time since an envelope has waited for its acknowledgement.
+	// SilentMS is how long the oldest unacknowledged envelope has been waiting for its acknowledgement.
 	SilentMS int64 `json:"silent_ms"`
 }
 
-// QueueView is the waiting work and the slots of one service.
+// QueueView is the queued work and the slots of one service.
 type QueueView struct {
 	Service      string `json:"service"`
 	WaitingShort int    `json:"waiting_short"`
@@ -74,7 +74,7 @@
 	SlotsBusy    int    `json:"slots_busy"`
 }
 
-// GrantView is what this VM, as granter of a worker, has granted.
+// GrantView shows the slots that this VM, as slot allocator of a worker, has granted.
 type GrantView struct {
 	Service string       `json:"service"`
 	Worker  string       `json:"worker"`
@@ -84,14 +84,14 @@
 	Holders []HolderView `json:"holders"`
 }
 
-// HolderView is an entry VM that holds slots.
+// HolderView is an entry VM that holds slots of a worker.
 type HolderView struct {
 	VM    string `json:"vm"`
 	Short int    `json:"short"`
 	Long  int    `json:"long"`
 }
 
-// QuotaView is a team's part of its quota on this entry VM.
+// QuotaView shows the quota of a team and the share of it that this entry VM holds.
 type QuotaView struct {
 	Customer string `json:"customer"`
 	Team     string `json:"team"`
