--- a/command/config.go
+++ b/command/config.go
@@ -24,7 +24,7 @@
 func configCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "config",
-		Usage: "check, publish and show the configuration and watch it take effect",
+		Usage: "check, publish, show and watch the configuration",
 		Description: "A file holds a change as JSON with the sections services, kinds, customers, teams and " +
 			"worker_classes. Each entry replaces the one of the same name; null removes it. Example:\n\n" +
 			`{"services": {"glashaus.proto": {"schema_file": "glashaus.proto"}},` + "\n" +
@@ -42,13 +42,13 @@
 	return []cli.Flag{
 		&cli.StringFlag{Name: "log", Value: "http://127.0.0.1:7400", Usage: "base `URL` of the platform's log"},
 		&cli.StringSliceFlag{
-			Name: "entry", Usage: "callers' `ADDRESS` of an entry VM to ask if the log has dropped old records; may be repeated",
+			Name: "entry", Usage: "callers' `ADDRESS` of an entry VM to query if the log has dropped old records; may be repeated",
 		},
 		&cli.DurationFlag{Name: "timeout", Value: 10 * time.Second, Usage: "longest wait for the log"},
 	}
 }
 
-// configLog reads the stream of configuration records for an operator.
+// configLog follows the stream of configuration records and keeps the verdict on each change.
 type configLog struct {
 	log      *platform.HTTPLog
 	state    *contract.ConfigState
@@ -70,7 +70,7 @@
 	return l, l.adopt(ctx, c.StringSlice("entry"))
 }
 
-// read applies all records up to the present end of the stream.
+// read applies all records up to the current end of the stream.
 func (l *configLog) read(ctx context.Context) error {
 	for {
 		page, err := l.log.Read(ctx, configStream, l.state.Position(), configPage, 0)
@@ -91,13 +91,13 @@
 	}
 }
 
-// adopt takes the state of the entry VM that is furthest ahead.
+// adopt adopts the newest configuration of the given entry VMs, for a log that has dropped old records.
 func (l *configLog) adopt(ctx context.Context, addresses []string) error {
-	err := errors.New("the log has dropped old records and shows no revision; name entry VMs with --entry")
+	err := errors.New("the log has dropped old records and holds no revision; name entry VMs with --entry")
 	for _, a := range addresses {
-		snap, failed := entrySnapshot(ctx, a)
-		if failed != nil {
-			err = failed
+		snap, snapErr := entrySnapshot(ctx, a)
+		if snapErr != nil {
+			err = snapErr
 			continue
 		}
 		verdicts, _ := l.state.Adopt(snap)
@@ -117,7 +117,7 @@
 		return contract.ConfigSnapshot{}, err
 	}
 	if !r.GetKnown() {
-		return contract.ConfigSnapshot{}, fmt.Errorf("entry VM %s knows no configuration", r.GetVm())
+		return contract.ConfigSnapshot{}, fmt.Errorf("entry VM %s has no configuration", r.GetVm())
 	}
 	document, err := config.DecodeDocument(r.GetDocument())
 	if err != nil {
@@ -130,15 +130,15 @@
 	return s, nil
 }
 
-// readPatch reads the file that is a command's argument and checks it on top of a document.
-func readPatch(c *cli.Command, onto contract.ConfigDocument) (contract.ConfigPatch, error) {
+// readPatch reads the patch file named by the argument of a command and checks the result of applying it to base.
+func readPatch(c *cli.Command, base contract.ConfigDocument) (contract.ConfigPatch, error) {
 	file := c.Args().First()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return contract.ConfigPatch{}, err
 	}
 	read := func(name string) ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(file), name)) }
-	p, findings := config.CheckPatch(file, text, read, onto)
+	p, findings := config.CheckPatch(file, text, read, base)
 	if len(findings) > 0 {
 		return p, findings
 	}
--- a/command/config_test.go
+++ b/command/config_test.go
@@ -22,8 +22,8 @@
 	return out.String(), err
 }
 
-// Guards against an operator who is not told that another change came first, and against a change that counts twice
-// after a lost reply.
+// Guards against a publish that does not report a conflicting earlier change, and against a change that is applied
+// twice after a lost reply.
 func TestConfigPublish(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	require.Equal(t, 3, p.Stats().Appends)
 }
 
-// Guards against a check that stops at the first finding or does not name its line.
+// Guards against a check that stops at the first finding or does not report its line.
 func TestConfigCheck(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "change.json")
 	require.NoError(t, os.WriteFile(file, []byte("{\n\"customers\": {\"c\": {\"weight\": 0}},\n\"teams\": {\"x/t\": {}}\n}"), 0o600))
--- a/command/configpublish.go
+++ b/command/configpublish.go
@@ -19,12 +19,12 @@
 		Usage:     "publish a change and wait for the verdict",
 		ArgsUsage: "FILE",
 		Description: "The change applies to the revision --base, as config show prints it. If another change came first, " +
-			"the command names it and exits with 1. After an unknown outcome, repeat the command with the printed --id: a " +
-			"change is accepted at most once.",
+			"the command reports it and exits with status 1. After an unknown outcome, repeat the command with the printed " +
+			"--id: a change is accepted at most once.",
 		Flags: append(configLogFlags(),
 			&cli.Uint64Flag{Name: "base", Required: true, Usage: "`REVISION` that the change applies to"},
 			&cli.StringFlag{Name: "author", Required: true, Usage: "`NAME` of the author"},
-			&cli.StringFlag{Name: "id", Usage: "`ID` of the change; a fresh one if not given"},
+			&cli.StringFlag{Name: "id", Usage: "`ID` of the change; generated if not given"},
 		),
 		Action: publishConfig,
 	}
@@ -44,9 +44,9 @@
 	if v, ok := l.verdicts[change.ID]; ok {
 		return printVerdict(c, change, v)
 	}
-	// A change of a stale base is published all the same: the log alone decides.
-	onto := l.state.View().Document
-	if change.Patch, err = readPatch(c, onto); err != nil {
+	// A change with a stale base is published too: only the order of the log decides.
+	current := l.state.View().Document
+	if change.Patch, err = readPatch(c, current); err != nil {
 		return err
 	}
 	data, err := config.EncodeRecord(contract.ConfigRecord{Change: &change})
@@ -60,7 +60,7 @@
 			return printVerdict(c, change, v)
 		}
 		if err == nil {
-			// The record may still be on its way.
+			// The record may not have reached the log yet.
 			_, err = l.log.Read(ctx, configStream, l.state.Position(), 1, retryWait)
 		}
 		if ctx.Err() != nil || (err != nil && platform.Sleep(ctx, retryWait) != nil) {
--- a/command/configshow.go
+++ b/command/configshow.go
@@ -19,7 +19,7 @@
 func configShowCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "show",
-		Usage: "print the present revision on the log as JSON",
+		Usage: "print the current revision of the configuration log as JSON",
 		Flags: configLogFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
--- a/command/configwatch.go
+++ b/command/configwatch.go
@@ -24,14 +24,14 @@
 func configWatchCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "watch",
-		Usage: "print which entry VM has which revision in effect, a line for each change",
-		Description: "Asks the entry VMs that --entry names, or all that the platform's list shows, until interrupted or " +
-			"until all have at least the revision --until in effect.",
+		Usage: "print the revision in effect on each entry VM, one line per change",
+		Description: "Polls the entry VMs that --entry names, or all in the platform's list, until interrupted or until all " +
+			"have at least the revision --until in effect.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "entry", Usage: "callers' `ADDRESS` of an entry VM; may be repeated"},
 			&cli.StringFlag{Name: "list", Value: "http://127.0.0.1:7400", Usage: "base `URL` of the platform's list"},
 			&cli.Uint64Flag{Name: "until", Usage: "end when all have `REVISION`"},
-			&cli.DurationFlag{Name: "interval", Value: 200 * time.Millisecond, Usage: "`TIME` between questions"},
+			&cli.DurationFlag{Name: "interval", Value: 200 * time.Millisecond, Usage: "`TIME` between polls"},
 		},
 		Action: watchConfig,
 	}
@@ -47,7 +47,7 @@
 			return err
 		}
 		all := len(addresses) > 0
-		for _, l := range askEntries(ctx, addresses) {
+		for _, l := range pollEntries(ctx, addresses) {
 			all = all && l.known && l.revision >= c.Uint64("until")
 			if shown[l.address] == l.text {
 				continue
@@ -91,21 +91,21 @@
 	revision uint64
 }
 
-// askEntries asks all entry VMs at the same time.
-func askEntries(ctx context.Context, addresses []string) []watchLine {
+// pollEntries queries all entry VMs concurrently.
+func pollEntries(ctx context.Context, addresses []string) []watchLine {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	lines := make([]watchLine, len(addresses))
 	var wg sync.WaitGroup
 	for i, a := range addresses {
-		wg.Go(func() { lines[i] = askEntry(ctx, a) })
+		wg.Go(func() { lines[i] = pollEntry(ctx, a) })
 	}
 	wg.Wait()
 	sort.Slice(lines, func(i, j int) bool { return lines[i].address < lines[j].address })
 	return lines
 }
 
-func askEntry(ctx context.Context, address string) watchLine {
+func pollEntry(ctx context.Context, address string) watchLine {
 	r, err := rpc.ShowConfiguration(ctx, address, true, nil)
 	switch {
 	case err != nil:
--- a/command/control_bench_test.go
+++ b/command/control_bench_test.go
@@ -29,17 +29,17 @@
 const (
 	controlSettle  = 4 * time.Second
 	controlMeasure = 6 * time.Second
-	// clockTicks is the unit of CPU times in /proc on Linux.
+	// clockTicks is the number of ticks per second of CPU times in /proc on Linux.
 	clockTicks   = 100
 	controlSlots = 8
 	jobTasks     = 20
 )
 
-// controlSize is a deployment around the daemon that is measured.
+// controlSize is the size of the deployment around the measured daemon.
 type controlSize struct {
-	members int // entry VMs of the failure domain, the measured one included
+	members int // entry VMs of the failure domain, including the measured one
 	workers int // workers of the failure domain
-	domains int // failure domains, the own one included; the others have one entry VM each
+	domains int // failure domains, including its own; the others have one entry VM each
 	starts  int // task starts per second at the other members
 }
 
@@ -47,27 +47,27 @@
 	return fmt.Sprintf("members=%d/workers=%d/domains=%d/starts=%d", c.members, c.workers, c.domains, c.starts)
 }
 
-// controlCost is what one daemon spends.
+// controlCost is the resource usage of one daemon.
 type controlCost struct {
 	core, megabytes, received, sent float64 // share of a core, MB resident, bytes/s, bytes/s
 }
 
-// controlSeries vary one quantity each, so that a slope can be fitted.
+// controlSeries returns series that vary one quantity each, so that a slope can be fitted.
 func controlSeries() map[string][]controlSize {
 	return map[string][]controlSize{
 		"members": {{2, 24, 1, 0}, {4, 24, 1, 0}, {8, 24, 1, 0}},
 		"workers": {{2, 24, 1, 0}, {2, 96, 1, 0}, {2, 187, 1, 0}},
 		"domains": {{2, 24, 1, 0}, {2, 24, 8, 0}, {2, 24, 23, 0}},
-		// The failure domain of the two-year size, with one entry VM in each of the 22 others.
+		// A failure domain of the two-year size, with one entry VM in each of the 22 others.
 		"two-year": {{8, 187, 23, 0}},
 		"starts":   {{2, 48, 1, 0}, {2, 48, 1, 200}, {2, 48, 1, 400}},
 	}
 }
 
-// BenchmarkControl measures the control cost of an entry daemon in a process of its own, without tasks of its own.
+// BenchmarkControl measures the control cost of an entry daemon that runs in its own process and has no tasks.
 // Run it with -bench Control -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
-	s := newSite(b)
+	h := newHarness(b)
 	costs := map[controlSize]controlCost{}
 	for _, name := range []string{"members", "workers", "domains", "starts", "two-year"} {
 		for _, size := range controlSeries()[name] {
@@ -76,7 +76,7 @@
 			}
 			b.Run(size.String(), func(b *testing.B) {
 				for b.Loop() {
-					c := s.measureControl(size)
+					c := h.measureControl(size)
 					costs[size] = c
 					b.ReportMetric(c.core*100, "%core")
 					b.ReportMetric(c.megabytes, "MB")
@@ -89,7 +89,7 @@
 	printSlopes(costs)
 }
 
-// printSlopes prints the cost of one more unit of each quantity by least squares.
+// printSlopes prints the cost per unit of each quantity, fitted by least squares.
 func printSlopes(costs map[controlSize]controlCost) {
 	quantity := map[string]func(controlSize) int{
 		"members": func(c controlSize) int { return c.members }, "workers": func(c controlSize) int { return c.workers },
@@ -122,95 +122,95 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// surroundings are the stand-ins and the other daemons.
-type surroundings struct {
+// environment is the stand-ins and the other daemons of the deployment.
+type environment struct {
 	platform *standin.Platform
 	workers  []*standin.Worker
 	daemons  []*entry.Daemon
 	callers  []string
 }
 
-func (s *site) measureControl(size controlSize) controlCost {
-	around := s.surround(size)
-	defer around.close()
-	e := s.entryVM(1)
-	around.platform.SetVM(platform.VM{
+func (h *harness) measureControl(size controlSize) controlCost {
+	env := h.startEnvironment(size)
+	defer env.close()
+	e := h.entryVM(1)
+	env.platform.SetVM(platform.VM{
 		ID: e.id, Kind: platform.KindEntry, Domain: 1, PeerAddress: e.peers, CallerAddress: e.callers,
 	})
-	e.writeSettings(s.t, strings.TrimPrefix(around.platform.URL(), "http://"))
-	e.process = s.start("entry", "--settings", e.settings)
-	e.awaitReady(s.t, float64(size.members))
-	stop := around.load(s.t, size.starts)
+	e.writeSettings(h.t, strings.TrimPrefix(env.platform.URL(), "http://"))
+	e.process = h.start("entry", "--settings", e.settings)
+	e.awaitReady(h.t, float64(size.members))
+	stop := env.load(h.t, size.starts)
 	defer stop()
 	time.Sleep(controlSettle)
 	pid := e.process.cmd.Process.Pid
-	before, begin := readUsage(s.t, pid), time.Now()
+	before, begin := readUsage(h.t, pid), time.Now()
 	time.Sleep(controlMeasure)
-	after, took := readUsage(s.t, pid), time.Since(begin).Seconds()
-	require.Equal(s.t, 0, e.process.terminate())
+	after, elapsed := readUsage(h.t, pid), time.Since(begin).Seconds()
+	require.Equal(h.t, 0, e.process.terminate())
 	return controlCost{
-		core: (after.cpu - before.cpu) / took, megabytes: after.resident / (1 << 20),
-		received: (after.received - before.received) / took, sent: (after.sent - before.sent) / took,
+		core: (after.cpu - before.cpu) / elapsed, megabytes: after.resident / (1 << 20),
+		received: (after.received - before.received) / elapsed, sent: (after.sent - before.sent) / elapsed,
 	}
 }
 
-func (s *site) surround(size controlSize) *surroundings {
-	l, err := net.Listen("tcp", s.ip+":0")
-	require.NoError(s.t, err)
-	a := &surroundings{platform: standin.NewPlatform(l)}
+func (h *harness) startEnvironment(size controlSize) *environment {
+	l, err := net.Listen("tcp", h.ip+":0")
+	require.NoError(h.t, err)
+	env := &environment{platform: standin.NewPlatform(l)}
 	for n := range size.workers {
-		l, err := net.Listen("tcp", s.ip+":0")
-		require.NoError(s.t, err)
+		l, err := net.Listen("tcp", h.ip+":0")
+		require.NoError(h.t, err)
 		id := fmt.Sprintf("worker-%d", n)
 		w := standin.NewWorker(l, standin.WorkerOptions{
 			ID: machine.WorkerID(id), Slots: controlSlots, Work: standin.DeploymentWork,
 		})
-		a.workers = append(a.workers, w)
-		a.platform.SetVM(platform.VM{
+		env.workers = append(env.workers, w)
+		env.platform.SetVM(platform.VM{
 			ID: id, Kind: platform.KindWorker, Domain: 1, Address: w.Address(), Service: bookings, Slots: controlSlots,
 		})
 	}
 	for n := 2; n <= size.members; n++ {
-		a.callers = append(a.callers, s.member(a, fmt.Sprintf("entry-%d", n), 1))
+		env.callers = append(env.callers, h.member(env, fmt.Sprintf("entry-%d", n), 1))
 	}
 	for domain := 2; domain <= size.domains; domain++ {
-		s.member(a, fmt.Sprintf("foreign-%d", domain), zone.DomainID(domain))
+		h.member(env, fmt.Sprintf("foreign-%d", domain), zone.DomainID(domain))
 	}
-	return a
+	return env
 }
 
 // member starts another entry daemon in this process and returns its callers' address.
-func (s *site) member(a *surroundings, id string, domain zone.DomainID) string {
-	callers, err := net.Listen("tcp", s.ip+":0")
-	require.NoError(s.t, err)
-	peers, err := net.Listen("tcp", s.ip+":0")
-	require.NoError(s.t, err)
-	logs, err := platform.NewHTTPLog(a.platform.URL())
-	require.NoError(s.t, err)
-	list, err := platform.NewHTTPVMList(a.platform.URL())
-	require.NoError(s.t, err)
+func (h *harness) member(env *environment, id string, domain zone.DomainID) string {
+	callers, err := net.Listen("tcp", h.ip+":0")
+	require.NoError(h.t, err)
+	peers, err := net.Listen("tcp", h.ip+":0")
+	require.NoError(h.t, err)
+	logs, err := platform.NewHTTPLog(env.platform.URL())
+	require.NoError(h.t, err)
+	list, err := platform.NewHTTPVMList(env.platform.URL())
+	require.NoError(h.t, err)
 	services, findings := schema.Load(schema.Source{"glashaus.proto": schemas.Glashaus}, "glashaus.proto")
-	require.Empty(s.t, findings)
+	require.Empty(h.t, findings)
 	vm := machine.EntryVM{ID: id, PeerAddress: peers.Addr().String(), CallerAddress: callers.Addr().String()}
-	a.platform.SetVM(platform.VM{
+	env.platform.SetVM(platform.VM{
 		ID: id, Kind: platform.KindEntry, Domain: domain, PeerAddress: vm.PeerAddress, CallerAddress: vm.CallerAddress,
 	})
 	d, err := entry.New(entry.Options{
 		VM: vm, Domain: domain, Services: services, Log: logs, List: list, Callers: callers, Peers: peers,
 		Connections: controlSlots, Logger: slog.New(slog.DiscardHandler),
 	})
-	require.NoError(s.t, err)
-	require.NoError(s.t, d.Start())
-	a.daemons = append(a.daemons, d)
+	require.NoError(h.t, err)
+	require.NoError(h.t, d.Start())
+	env.daemons = append(env.daemons, d)
 	return vm.CallerAddress
 }
 
-// load submits jobs to the other members at a steady rate until the returned function is called.
-func (a *surroundings) load(t testing.TB, starts int) func() {
+// load submits jobs to the other members at a constant rate until the returned function is called.
+func (env *environment) load(t testing.TB, starts int) func() {
 	if starts == 0 {
 		return func() {}
 	}
-	client, err := rpc.NewClient(a.callers, nil)
+	client, err := rpc.NewClient(env.callers, nil)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -241,26 +241,26 @@
 	for range jobTasks {
 		j.AddPriceHire(&glashaus.PriceHireRequest{Heaters: 1, Days: 1})
 	}
-	// The answers do not matter here; jobs at the end of the measurement are cut off.
+	// The answer is ignored: jobs in flight at the end of the measurement are cancelled.
 	_, _ = j.Submit(ctx)
 }
 
-func (a *surroundings) close() {
+func (env *environment) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, d := range a.daemons {
+	for _, d := range env.daemons {
 		wg.Go(func() { d.Stop(ctx) })
 	}
 	wg.Wait()
-	for _, w := range a.workers {
+	for _, w := range env.workers {
 		wg.Go(func() { _ = w.Close() })
 	}
 	wg.Wait()
-	_ = a.platform.Close()
+	_ = env.platform.Close()
 }
 
-// usage is what a process has spent since its start, and its resident memory.
+// usage is the CPU time and I/O of a process since its start, and its resident memory.
 type usage struct {
 	cpu, resident, received, sent float64
 }
@@ -277,7 +277,7 @@
 		require.NoError(t, err)
 		return v
 	}
-	// The fields after the command's name, which is in parentheses, start with the third one of the file.
+	// Field 3 is the first after the command name, which is in parentheses and may contain spaces.
 	stat := read("stat")
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	u := usage{cpu: (number(fields[11]) + number(fields[12])) / clockTicks}
--- a/command/demo.go
+++ b/command/demo.go
@@ -11,7 +11,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run both deployments' jobs against daemons and stand-ins in one process",
+		Usage: "run jobs of both deployments against daemons and stand-ins in one process",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "jobs", Value: 40, Usage: "number of jobs"},
 		},
--- a/command/doc.go
+++ b/command/doc.go
@@ -1,2 +1,2 @@
-// Package command holds the subcommands of the cicadadale binary, a file per command.
+// Package command defines the subcommands of the cicadadale binary.
 package command
--- a/command/edge.go
+++ b/command/edge.go
@@ -27,9 +27,9 @@
 const (
 	// settingsVariable names the environment variable in which the platform passes the path of the settings file.
 	settingsVariable = "CICADADALE_CONFIG"
-	// millisPerCore converts shares of a core.
+	// millisPerCore converts shares of a core to thousandths.
 	millisPerCore = 1000
-	// stopMargin is the part of the grace that a stopping process leaves to the end of its connections.
+	// stopMargin is the part of the grace period that is reserved for closing connections.
 	stopMargin = 300 * time.Millisecond
 	// peerDialTimeout bounds the opening of a connection to another member.
 	peerDialTimeout = 500 * time.Millisecond
@@ -38,10 +38,10 @@
 func edgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
-		Usage: "run the daemon on the users' platform",
+		Usage: "run the edge daemon of the users' platform",
 		Description: "Serves jobs over HTTP on listen.front and runs their tasks on the workers that the platform's store " +
 			"lists, together with the other edge daemons. SIGTERM stops it gracefully within stop.grace_s. Settings are " +
-			"described in docs/OPERATIONS.md, the template that the platform fills in is deploy/settings.toml.\n\n" +
+			"described in docs/OPERATIONS.md; the platform fills in the template deploy/settings.toml.\n\n" +
 			"Example: cicadadale edge --settings edge.toml --check",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Sources: cli.EnvVars(settingsVariable), Required: true,
@@ -64,37 +64,37 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	lines := logbuffer.New(os.Stdout, time.Now)
-	defer lines.Close()
+	logOutput := logbuffer.New(os.Stdout, time.Now)
+	defer logOutput.Close()
 	level := &slog.LevelVar{}
 	level.Set(logLevel(settings.Log.Level))
-	logger := newLoggerTo(lines, level, settings.Log.Format)
+	logger := newLoggerTo(logOutput, level, settings.Log.Format)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	go func(last config.Edge) {
+	go func(current config.Edge) {
 		for range reload {
-			last = reloadEdge(path, last, level, logger)
+			current = reloadEdge(path, current, level, logger)
 		}
 	}(settings)
 	return serveEdge(ctx, settings, logger)
 }
 
-// reloadEdge reads the settings again and applies the level of the log. The addresses and bounds of a process are those of
-// its start. It returns the settings that are in force.
-func reloadEdge(path string, last config.Edge, level *slog.LevelVar, logger *slog.Logger) config.Edge {
+// reloadEdge reads the settings again and applies the log level; changes of other settings need a restart. It returns
+// the settings in effect.
+func reloadEdge(path string, current config.Edge, level *slog.LevelVar, logger *slog.Logger) config.Edge {
 	next, err := config.LoadEdge(path)
 	if err != nil {
-		logger.Error("settings cannot be reloaded; the last ones stay in force", "error", err)
-		return last
+		logger.Error("reloading settings failed; keeping the current ones", "error", err)
+		return current
 	}
 	level.Set(logLevel(next.Log.Level))
-	logger.Info("settings reloaded", "log_level", next.Log.Level, "needs_restart", last.NeedsRestart(next))
-	last.Log.Level = next.Log.Level
-	return last
+	logger.Info("settings reloaded", "log_level", next.Log.Level, "needs_restart", current.NeedsRestart(next))
+	current.Log.Level = next.Log.Level
+	return current
 }
 
-// serveEdge runs the daemon until ctx ends.
+// serveEdge runs the daemon until ctx is cancelled, then stops it gracefully.
 func serveEdge(ctx context.Context, s config.Edge, logger *slog.Logger) error {
 	peers, err := net.Listen("tcp", s.Listen.Peers)
 	if err != nil {
@@ -117,8 +117,8 @@
 		if err != nil {
 			return errors.Join(err, peers.Close())
 		}
-		served := admin.ServeMetrics(l, registry)
-		defer func() { logger.Debug("metrics server stopped", "error", served.Stop()) }()
+		metricsServer := admin.ServeMetrics(l, registry)
+		defer func() { logger.Debug("metrics server stopped", "error", metricsServer.Stop()) }()
 	}
 	clock := bootclock.New()
 	daemon, err := edge.New(edge.Options{
@@ -132,11 +132,11 @@
 		return errors.Join(err, peers.Close())
 	}
 	ingress := platform.NewIngress(s.Listen.Front, s.Listen.Readiness, daemon, clock.Now, logger)
-	failed := make(chan error, 1)
-	go func() { failed <- ingress.Run() }()
+	ingressDone := make(chan error, 1)
+	go func() { ingressDone <- ingress.Run() }()
 	select {
 	case <-ctx.Done():
-	case err := <-failed:
+	case err := <-ingressDone:
 		daemon.Close()
 		return err
 	}
@@ -145,6 +145,6 @@
 	daemon.Stop(deadline)
 	ingress.Close()
 	daemon.Finish(deadline)
-	// What is left ends with the process: closing it in order would wait for reads of the store.
+	// The rest ends with the process: an orderly close would wait for pending reads of the store.
 	return nil
 }
--- a/command/edge_test.go
+++ b/command/edge_test.go
@@ -30,31 +30,31 @@
 level = "LEVEL"
 `
 
-// Guards against a process that ends on SIGHUP, applies half of a bad file, or does not say that it needs a restart.
-func TestSettingsAreReloaded(t *testing.T) {
+// Guards against a reload that applies part of an invalid file or does not report that a restart is needed.
+func TestReloadEdgeSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "edge.toml")
-	write := func(level, more string) {
+	writeSettings := func(level, more string) {
 		text := bytes.ReplaceAll([]byte(edgeSettings+more), []byte("LEVEL"), []byte(level))
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 	}
-	write("info", "")
+	writeSettings("info", "")
 	settings, err := config.LoadEdge(path)
 	require.NoError(t, err)
 	var out bytes.Buffer
 	level := &slog.LevelVar{}
 	logger := newLoggerTo(&out, level, "json")
 
-	write("warn", "")
+	writeSettings("warn", "")
 	settings = reloadEdge(path, settings, level, logger)
 	require.Equal(t, slog.LevelWarn, level.Level())
 
-	write("debug", "[nonsense]\n")
+	writeSettings("debug", "[nonsense]\n")
 	settings = reloadEdge(path, settings, level, logger)
 	require.Equal(t, slog.LevelWarn, level.Level())
-	require.Contains(t, out.String(), "the last ones stay in force")
+	require.Contains(t, out.String(), "keeping the current ones")
 	require.Contains(t, out.String(), "nonsense")
 
-	write("info", "format = \"text\"\n")
+	writeSettings("info", "format = \"text\"\n")
 	reloadEdge(path, settings, level, logger)
 	require.Contains(t, out.String(), `"needs_restart":true`)
 }
--- a/command/edgesoak.go
+++ b/command/edgesoak.go
@@ -18,8 +18,8 @@
 		Name:  "edgesoak",
 		Usage: "run edge daemons as separate processes under random faults and check what clients and workers see",
 		Description: "Starts edge daemons as child processes, stand-ins of workers and of the platform's store, and relays " +
-			"between them; clients submit jobs and send them again as the platform's clients do. Faults are drawn from the " +
-			"seed and overlap. Exits 1 on a violation. Fault kinds: " + strings.Join(soak.FaultKinds(), ", ") + ".\n\n" +
+			"between them; clients submit jobs and retry them as the platform's clients do. Faults are drawn from the " +
+			"seed and may overlap. Exits 1 on a violation. Fault kinds: " + strings.Join(soak.FaultKinds(), ", ") + ".\n\n" +
 			"Example: cicadadale edgesoak --seed 7 --duration 20s --dir /tmp/soak-7 --json",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of all random choices"},
--- a/command/entry.go
+++ b/command/entry.go
@@ -17,9 +17,10 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// errLostWhileStopping makes the exit status tell a stop that lost jobs from a graceful one.
-var errLostWhileStopping = errors.New(
-	"the other entry VMs count this process as gone; they answered its jobs as lost before it had stopped")
+// errFencedWhileStopping gives a stop that lost jobs another exit status than a graceful stop. load/process.go matches
+// a part of its text in the output of the process.
+var errFencedWhileStopping = errors.New(
+	"the other entry VMs count this process as gone; they reported its jobs as lost before it had stopped")
 
 func entryCommand() *cli.Command {
 	return &cli.Command{
@@ -27,7 +28,7 @@
 		Usage: "run the entry daemon",
 		Description: "Reads a TOML settings file, serves callers by gRPC and joins the other entry VMs of its failure " +
 			"domain. SIGTERM or SIGINT stops it gracefully: it refuses new jobs, finishes running tasks within " +
-			"stop.drain_timeout and exits with status 0. Settings are described in docs/OPERATIONS.md, examples are in " +
+			"stop.drain_timeout and exits with status 0. Settings are described in docs/OPERATIONS.md; examples are in " +
 			"examples/.\n\nExample: cicadadale entry --settings examples/entry-1.toml",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Required: true, Usage: "settings `FILE` (TOML)"},
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// serveEntry runs one incarnation, until the process is told to stop or the other entry VMs count the incarnation as
-// gone, after a long pause or a partition. The next one binds the same addresses. It returns the incarnation.
+// serveEntry runs one incarnation until ctx is cancelled or the other entry VMs fence it, after a long pause or a
+// partition. It returns the incarnation; the next one binds the same addresses.
 func serveEntry(
 	ctx context.Context, parts *entryParts, predecessor machine.Incarnation,
 ) (machine.Incarnation, error) {
@@ -96,13 +97,13 @@
 	d.Stop(drain)
 	select {
 	case <-d.Lost():
-		return o.VM.Incarnation, errLostWhileStopping
+		return o.VM.Incarnation, errFencedWhileStopping
 	default:
 		return o.VM.Incarnation, nil
 	}
 }
 
-// newLogger returns the text logger of the tools.
+// newLogger returns the text logger of the client and operator commands.
 func newLogger(level string) *slog.Logger { return newFormatLogger(level, "text") }
 
 func newFormatLogger(level, format string) *slog.Logger {
@@ -118,7 +119,7 @@
 	return slog.New(slog.NewTextHandler(w, o))
 }
 
-// logLevel returns the level of a name that the settings have checked.
+// logLevel parses a level that the settings have already validated.
 func logLevel(name string) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(name)); err != nil {
--- a/command/entryparts.go
+++ b/command/entryparts.go
@@ -19,10 +19,10 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// alpnHTTP2 is the protocol that gRPC negotiates.
+// alpnHTTP2 is the ALPN protocol that gRPC negotiates.
 const alpnHTTP2 = "h2"
 
-// entryParts are what the settings of an entry daemon name, read and checked but not listening yet.
+// entryParts holds the files that the settings of an entry daemon name, loaded and checked. No listener is open yet.
 type entryParts struct {
 	settings config.Entry
 	logger   *slog.Logger
@@ -31,7 +31,7 @@
 	peers    *tlsfiles.Identity
 }
 
-// readEntryParts reads the files that the settings name and returns all findings at once.
+// readEntryParts loads the files that the settings name and returns all findings at once.
 func readEntryParts(s config.Entry, logger *slog.Logger) (*entryParts, error) {
 	p := &entryParts{settings: s, logger: logger}
 	var errs []error
@@ -52,7 +52,7 @@
 	return p, errors.Join(errs...)
 }
 
-// identity returns nil if no files are named.
+// identity loads TLS files. It returns nil if no files are named.
 func (p *entryParts) identity(f tlsfiles.Files) (*tlsfiles.Identity, error) {
 	if f == (tlsfiles.Files{}) {
 		return nil, nil
@@ -60,7 +60,7 @@
 	return tlsfiles.Load(f, time.Now, p.logger)
 }
 
-// options opens the listeners.
+// options opens the listeners and returns the options of the daemon.
 func (p *entryParts) options() (entry.Options, error) {
 	s := p.settings
 	logs, err := platform.NewHTTPLog(s.Platform.Log)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// secure puts TLS on the sides that have files for it.
+// secure enables TLS for callers and peers if their files are set.
 func (p *entryParts) secure(o *entry.Options) {
 	if p.callers != nil {
 		o.CallerCredentials = credentials.NewTLS(p.callers.Server(alpnHTTP2))
--- a/command/job.go
+++ b/command/job.go
@@ -22,7 +22,7 @@
 	timeout := &cli.DurationFlag{Name: "timeout", Value: 30 * time.Second, Usage: "longest wait for the answer"}
 	return &cli.Command{
 		Name:  "job",
-		Usage: "create, submit, cancel and reconfigure jobs and ask after them",
+		Usage: "create, submit, cancel, reconfigure and query jobs",
 		Description: "Jobs go to any of the entry VMs; the client tries the others when one is unreachable. All calls may " +
 			"be repeated safely with the same job id.\n\nExample:\n" +
 			"  cicadadale job --entry 127.0.0.1:7001 submit --service glashaus.v1.Booking --kind PriceHire --payload ''\n" +
@@ -30,9 +30,9 @@
 		Flags: []cli.Flag{
 			addresses, timeout,
 			&cli.StringFlag{Name: "tls-ca", Usage: "use TLS and trust the authorities in this PEM `FILE`"},
-			&cli.StringFlag{Name: "tls-certificate", Usage: "use TLS and show the certificate in this PEM `FILE`"},
+			&cli.StringFlag{Name: "tls-certificate", Usage: "use TLS and present the certificate in this PEM `FILE`"},
 			&cli.StringFlag{Name: "tls-key", Usage: "key of the certificate, a PEM `FILE`"},
-			&cli.StringFlag{Name: "tls-server-name", Usage: "`NAME` that the entry VM's certificate must have; its address if not given"},
+			&cli.StringFlag{Name: "tls-server-name", Usage: "`NAME` that the entry VM's certificate must have; default: its address"},
 		},
 		Commands: []*cli.Command{
 			jobCreateCommand(), jobSubmitCommand(), jobCancelCommand(), jobReconfigureCommand(), jobStatusCommand(),
@@ -40,7 +40,7 @@
 	}
 }
 
-// withClient runs fn with a client of the entry VMs that the flags name.
+// withClient runs fn with a client for the entry VMs that the flags name.
 func withClient(ctx context.Context, c *cli.Command, fn func(context.Context, *rpc.Client) error) error {
 	creds, err := callerCredentials(c)
 	if err != nil {
@@ -76,11 +76,11 @@
 func jobSubmitCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "submit",
-		Usage: "submit a job and print its whole answer as JSON",
-		Description: "Each payload makes a task. Exit status: 0 complete, 1 error without an answer (submit again with the " +
-			"same --id), 2 failed, 3 refused as not run.",
+		Usage: "submit a job and print its complete answer as JSON",
+		Description: "Each payload is a task. Exit status: 0 complete, 1 error without an answer (submit again with the " +
+			"same --id), 2 failed, 3 refused and not run.",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "id", Usage: "job `ID` from create; a fresh one if neither it nor --key is given"},
+			&cli.StringFlag{Name: "id", Usage: "job `ID` from create; generated if neither --id nor --key is given"},
 			keyFlag(),
 			&cli.StringFlag{Name: "service", Required: true, Usage: "full `NAME` of the service"},
 			&cli.StringFlag{Name: "kind", Required: true, Usage: "request `KIND`"},
@@ -88,7 +88,7 @@
 			&cli.StringSliceFlag{Name: "payload-hex", Usage: "payload of one task as `HEX` digits, for encoded messages; may be repeated"},
 			&cli.StringFlag{Name: "customer", Usage: "`NAME` of the customer"},
 			&cli.StringFlag{Name: "team", Usage: "`NAME` of the team"},
-			&cli.DurationFlag{Name: "deadline", Usage: "time allowed to the whole answer"},
+			&cli.DurationFlag{Name: "deadline", Usage: "time allowed until the complete answer"},
 			&cli.IntFlag{Name: "priority", Usage: "higher runs first within the customer"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -125,16 +125,16 @@
 	if err := printAnswer(c.Root().Writer, answer); err != nil {
 		return err
 	}
-	return exitOf(answer)
+	return exitError(answer)
 }
 
-// Exit statuses of job submit beside 0 for a complete answer and 1 for an error that leaves the answer open.
+// Exit statuses of job submit, besides 0 for a complete answer and 1 for an error without an answer.
 const (
 	exitFailed  = 2
 	exitRefused = 3
 )
 
-func exitOf(a contract.Answer) error {
+func exitError(a contract.Answer) error {
 	switch a.Verdict {
 	case contract.VerdictFailed:
 		return cli.Exit("job failed: "+a.Reason, exitFailed)
@@ -177,7 +177,7 @@
 	return enc.Encode(out)
 }
 
-// jobAction runs fn with a client and the job that the command names.
+// jobAction returns an action that runs fn with a client and the job that the command names.
 func jobAction(fn func(context.Context, *cli.Command, *rpc.Client, contract.JobRef) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		ref, err := refArgument(c)
@@ -191,7 +191,7 @@
 func jobCancelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cancel",
-		Usage:     "withdraw the tasks of a job that have not started",
+		Usage:     "cancel the tasks of a job that have not started",
 		ArgsUsage: "[ID]",
 		Flags:     []cli.Flag{keyFlag()},
 		Action: jobAction(func(ctx context.Context, c *cli.Command, client *rpc.Client, ref contract.JobRef) error {
@@ -207,7 +207,7 @@
 func jobReconfigureCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "reconfigure",
-		Usage:     "change the deadline or priority of a job that has not ended",
+		Usage:     "change the deadline or priority of a job that has not finished",
 		ArgsUsage: "[ID]",
 		Flags: []cli.Flag{
 			keyFlag(),
@@ -241,7 +241,7 @@
 	}
 }
 
-// printStatus writes a job's progress on one line.
+// printStatus prints the progress of a job as one line of JSON.
 func printStatus(w io.Writer, st *api.JobStatus) error {
 	return json.NewEncoder(w).Encode(statusOutput{
 		Job: st.GetJobId(), Verdict: contract.Verdict(st.GetVerdict() - 1).String(), Tasks: st.GetTasks(),
--- a/command/jobref.go
+++ b/command/jobref.go
@@ -13,12 +13,12 @@
 	"github.com/cicadadale/cicadadale/rpc"
 )
 
-const keyUsage = "caller's own `KEY` as CUSTOMER/TEXT@TIME in place of an id, with the time of its creation in RFC 3339; " +
-	"repetitions must give the same time"
+const keyUsage = "idempotency `KEY` as CUSTOMER/TEXT@TIME instead of an id, where TIME is its creation time in RFC 3339; " +
+	"repeated calls must use the same time"
 
 func keyFlag() cli.Flag { return &cli.StringFlag{Name: "key", Usage: keyUsage} }
 
-// parseKey reads CUSTOMER/TEXT@TIME. The text may hold slashes and at signs.
+// parseKey parses CUSTOMER/TEXT@TIME. The text may contain slashes and at signs.
 func parseKey(s string) (contract.CallerKey, error) {
 	customer, rest, ok := strings.Cut(s, "/")
 	at := strings.LastIndex(rest, "@")
@@ -32,12 +32,12 @@
 	return contract.CallerKey{Customer: customer, Text: rest[:at], CreatedUnixMS: created.UnixMilli()}, nil
 }
 
-// refArgument reads the key or the job id that a command takes as its argument.
+// refArgument returns the job that a command names by its argument or by --key.
 func refArgument(c *cli.Command) (contract.JobRef, error) {
 	id := c.Args().First()
 	if key := c.String("key"); key != "" {
 		if id != "" {
-			return contract.JobRef{}, errors.New("give either an id or --key")
+			return contract.JobRef{}, errors.New("an id and --key are mutually exclusive")
 		}
 		k, err := parseKey(key)
 		return contract.JobRef{Key: &k}, err
@@ -46,12 +46,12 @@
 	return contract.JobRef{ID: parsed}, err
 }
 
-// submitRef returns the key or the id to submit under, a fresh id if neither is given.
+// submitRef returns the key or id to submit under, or a fresh id if neither is given.
 func submitRef(ctx context.Context, c *cli.Command, client *rpc.Client) (contract.JobRef, error) {
 	id, key := c.String("id"), c.String("key")
 	switch {
 	case id != "" && key != "":
-		return contract.JobRef{}, errors.New("give either --id or --key")
+		return contract.JobRef{}, errors.New("--id and --key are mutually exclusive")
 	case key != "":
 		k, err := parseKey(key)
 		return contract.JobRef{Key: &k}, err
--- a/command/jobref_test.go
+++ b/command/jobref_test.go
@@ -9,7 +9,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// Guards against a key that is read differently at a repetition, which would run the job again.
+// Guards against a key that is parsed differently when a call is repeated, which would run the job again.
 func TestParseKey(t *testing.T) {
 	k, err := parseKey("wakala/order 7/plot@3@2026-05-01T06:00:00Z")
 	require.NoError(t, err)
--- a/command/jobtls.go
+++ b/command/jobtls.go
@@ -9,7 +9,7 @@
 	"github.com/cicadadale/cicadadale/internal/tlsfiles"
 )
 
-// callerCredentials returns what the TLS flags ask for, nil for plain TCP.
+// callerCredentials returns the credentials that the TLS flags select, or nil for plain TCP.
 func callerCredentials(c *cli.Command) (credentials.TransportCredentials, error) {
 	f := tlsfiles.Files{
 		Certificate: c.String("tls-certificate"), Key: c.String("tls-key"), CA: c.String("tls-ca"),
--- a/command/load.go
+++ b/command/load.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// plotName adds the policy to the name of the file when there is one for each.
+// plotName adds the policy to the file name if there are several policies.
 func plotName(name, policy string, several bool) string {
 	if !several {
 		return name
@@ -80,7 +80,7 @@
 		return json.NewEncoder(w).Encode(r)
 	}
 	_, err := fmt.Fprintf(w, "policy %s: %d jobs, %d complete, %d failed, %d refused, %d wrong, %d missing, response "+
-		"ratio p50 %.3f p99 %.3f, served at the crest %.3f, wasted messages per task %.4f\n", r.Policy, r.JobsSubmitted,
+		"ratio p50 %.3f p99 %.3f, served at the peak %.3f, wasted messages per task %.4f\n", r.Policy, r.JobsSubmitted,
 		r.JobsComplete, r.JobsFailed, r.JobsRefused, r.AnswersWrong, r.AnswersMissing, r.ResponseRatioP50,
 		r.ResponseRatioP99, r.CrestServedRatio, r.WastedMessagesPerTask)
 	return err
--- a/command/logs.go
+++ b/command/logs.go
@@ -16,31 +16,31 @@
 	"github.com/urfave/cli/v3"
 )
 
-// maxLogLine bounds a line of a log, so that a file that is no log is refused and not read into memory.
+// maxLogLine bounds the length of a log line, so that a file of another kind is rejected instead of read into memory.
 const maxLogLine = 1 << 20
 
 func logsCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "logs",
-		Usage:     "show what all daemons have logged of one request",
+		Usage:     "show the log lines of all daemons about one request",
 		ArgsUsage: "FILE...",
-		Description: "Reads the JSON logs of several daemons, one file each, and prints the lines that name a job or a worker, in " +
-			"order of time, with the name of the file. Text before the first brace of a line is skipped. Clocks of VMs " +
-			"differ, so lines of different daemons may be out of order by that much.\n\n" +
+		Description: "Reads the JSON logs of several daemons, one file each, and prints the lines that name a job or a worker, " +
+			"ordered by time, with the name of the file. Text before the first brace of a line is skipped. Clocks of VMs " +
+			"differ, so lines of different daemons may be out of order by the difference.\n\n" +
 			"Example: cicadadale logs --id 5c0e7a21d94b36f8 edge-*.log",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "id", Required: true, Usage: "`ID` of a job, or the name of a worker or member"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return errors.New("logs: name at least one file")
+				return errors.New("logs: no file is given")
 			}
 			return showLogs(c.Root().Writer, c.String("id"), c.Args().Slice())
 		},
 	}
 }
 
-// logLine is a line of a daemon's log.
+// logLine is a line of a daemon's log, formatted for output.
 type logLine struct {
 	at     time.Time
 	source string
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// readLog returns the lines of a file that name an id.
+// readLog returns the lines of a file that contain an id.
 func readLog(path, id string) ([]logLine, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return found, s.Err()
 }
 
-// parseLogLine reads a line and puts its message in front.
+// parseLogLine parses a JSON line and moves its level and message to the front.
 func parseLogLine(text string) (logLine, bool) {
 	var fields struct {
 		Time  time.Time `json:"time"`
--- a/command/logs_test.go
+++ b/command/logs_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against lines of a request that are missing or out of order when the logs of several daemons are merged.
+// Guards against missing or misordered lines of a request when the logs of several daemons are merged.
 func TestLogsOfOneRequestInOrder(t *testing.T) {
 	dir := t.TempDir()
 	first := filepath.Join(dir, "edge-1.log")
@@ -31,7 +31,7 @@
 `, out.String())
 }
 
-// Guards against a missing file that looks like a request without lines.
+// Guards against a missing file that is reported as a request without log lines.
 func TestLogsOfMissingFile(t *testing.T) {
 	require.ErrorContains(t, showLogs(&bytes.Buffer{}, "aa11", []string{"missing.log"}), "missing.log")
 }
--- a/command/schema.go
+++ b/command/schema.go
@@ -28,7 +28,7 @@
 		Name:      "check",
 		Usage:     "check schema files and list their request kinds",
 		ArgsUsage: "FILE...",
-		Description: "Prints every finding as FILE:LINE:COLUMN: REASON and exits with status 1 if there are any.\n\n" +
+		Description: "Prints every finding as FILE:LINE:COLUMN: REASON and exits with status 1 if there is any.\n\n" +
 			"Example: cicadadale schema check schemas/glashaus.proto schemas/wakala.proto",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
@@ -54,7 +54,7 @@
 		Usage:     "generate Go messages and job stubs",
 		ArgsUsage: "FILE...",
 		Description: "Writes NAME.pb.go with the messages and NAME_job.pb.go with a job type per service: create a job, add " +
-			"typed tasks, submit, read typed results, cancel, reconfigure, ask for the status. Needs no other tools.\n\n" +
+			"typed tasks, submit, read typed results, cancel, reconfigure, query the status. Needs no other tools.\n\n" +
 			"Example: cicadadale schema generate schemas/glashaus.proto --out schemas/glashaus",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Required: true, Usage: "`DIR` to write to"},
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// findingsError lists all findings, a line each.
+// findingsError returns an error that lists all findings, one per line.
 func findingsError(findings []schema.Finding) error {
 	lines := make([]string, len(findings))
 	for i, f := range findings {
--- a/command/standin.go
+++ b/command/standin.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name:  "standin",
 		Usage: "run the stand-ins of the platform and of workers",
-		Description: "Serves the platform's log and VM list and a number of workers for each failure domain and " +
+		Description: "Serves the platform's log and VM list and runs a number of workers for each failure domain and " +
 			"service, on loopback. Entry VMs are listed as --entry ID;DOMAIN;PEERS;CALLERS. Failures of the platform are " +
 			"set with PUT /control/faults, for example {\"log_down\":true}; GET shows all fields. GET /control/stats " +
 			"counts the calls and POST /control/truncate/STREAM?first=N drops the records below an offset.",
@@ -31,11 +31,11 @@
 			&cli.IntFlag{Name: "workers", Value: 4, Usage: "workers per failure domain and service"},
 			&cli.IntFlag{Name: "slots", Value: 8, Usage: "slots per worker"},
 			&cli.StringSliceFlag{Name: "service", Usage: "`NAME` of a service to run workers for"},
-			&cli.IntFlag{Name: "append-rate", Value: 500, Usage: "appends per `SECOND` that the log sustains"},
-			&cli.DurationFlag{Name: "sync", Value: 4 * time.Millisecond, Usage: "time of a synced append"},
+			&cli.IntFlag{Name: "append-rate", Value: 500, Usage: "`NUMBER` of appends per second that the log sustains"},
+			&cli.DurationFlag{Name: "sync", Value: 4 * time.Millisecond, Usage: "duration of a synced append"},
 			&cli.DurationFlag{Name: "retain", Value: 48 * time.Hour, Usage: "how long the log keeps records"},
-			&cli.IntFlag{Name: "retain-records", Value: 1 << 20, Usage: "records that the log keeps in a stream"},
-			&cli.DurationFlag{Name: "list-lag", Usage: "age of the VM list that is shown"},
+			&cli.IntFlag{Name: "retain-records", Value: 1 << 20, Usage: "records that the log keeps per stream"},
+			&cli.DurationFlag{Name: "list-lag", Usage: "age of the VM list that is served"},
 			&cli.StringSliceFlag{Name: "entry", Usage: "entry VM as `ID;DOMAIN;PEERS;CALLERS`"},
 		},
 		Action: runStandin,
--- a/command/standinentry.go
+++ b/command/standinentry.go
@@ -9,7 +9,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// parseEntryVM reads ID;DOMAIN;PEERS;CALLERS.
+// parseEntryVM parses ID;DOMAIN;PEERS;CALLERS.
 func parseEntryVM(text string) (platform.VM, error) {
 	parts := strings.Split(text, ";")
 	if len(parts) != 4 {
--- a/command/timeline.go
+++ b/command/timeline.go
@@ -18,13 +18,13 @@
 	return &cli.Command{
 		Name:  "timeline",
 		Usage: "collect the events of all reachable processes in one causal order",
-		Description: "Asks the admin side of each entry VM for its recent events and merges them by logical time, so that " +
-			"every event comes after its causes whatever the machines' clocks show. Processes that cannot be reached and " +
-			"events that are no longer kept are listed as gaps at the end.\n\n" +
+		Description: "Fetches the recent events of each entry VM from its admin server and merges them by logical time, so that " +
+			"every event comes after its causes, independent of the machines' clocks. Unreachable processes and " +
+			"events that have been overwritten are listed as gaps at the end.\n\n" +
 			"Example: cicadadale timeline --admin 127.0.0.1:7003 --admin 127.0.0.1:7013 --workers --task j-1-00c0ffee00c0ffee-17.0",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "admin", Required: true, Usage: "admin `ADDRESS` of an entry VM; may be repeated"},
-			&cli.BoolFlag{Name: "workers", Usage: "also ask the workers that the entry VMs know"},
+			&cli.BoolFlag{Name: "workers", Usage: "also query the workers known to the entry VMs"},
 			&cli.StringFlag{Name: "format", Value: "text", Usage: "output `FORMAT`: text, json, or trace (for a browser's trace viewer)"},
 			&cli.StringFlag{Name: "job", Usage: "only events of the job with this `ID`"},
 			&cli.StringFlag{Name: "task", Usage: "only events of the task with this `ID` and of its job, from submit to answer"},
