--- a/timeline/collect.go
+++ b/timeline/collect.go
@@ -21,16 +21,16 @@
 	client *client.Client
 }
 
-// NewCollector returns a collector that spends at most dial on opening a connection.
-func NewCollector(dial time.Duration) (*Collector, error) {
-	c, err := client.NewClient(client.WithDialer(standard.NewDialer()), client.WithDialTimeout(dial))
+// NewCollector returns a collector with the given timeout for opening a connection.
+func NewCollector(dialTimeout time.Duration) (*Collector, error) {
+	c, err := client.NewClient(client.WithDialer(standard.NewDialer()), client.WithDialTimeout(dialTimeout))
 	if err != nil {
 		return nil, err
 	}
 	return &Collector{client: c}, nil
 }
 
-// Collect asks all addresses at the same time. A process that cannot be asked yields a part with an error.
+// Collect queries all addresses concurrently. An unreachable process yields a part with an error.
 func (c *Collector) Collect(ctx context.Context, addresses []string, f Filter) []Part {
 	parts := make([]Part, len(addresses))
 	var wg sync.WaitGroup
@@ -48,8 +48,8 @@
 	return parts
 }
 
-// WorkerAddresses asks the entry VMs which workers they know. Entry VMs that cannot be asked are left out, since
-// Collect names them.
+// WorkerAddresses returns the addresses of the workers that the entry VMs know. Unreachable entry VMs are skipped,
+// because Collect reports them.
 func (c *Collector) WorkerAddresses(ctx context.Context, admin []string) []string {
 	seen := map[string]bool{}
 	var out []string
--- a/timeline/filter.go
+++ b/timeline/filter.go
@@ -13,12 +13,12 @@
 // Filter selects events. Zero fields select everything.
 type Filter struct {
 	Job *contract.JobID
-	// Task also selects the events of its job, which show the submission and the answer.
+	// Task also selects the events of its job, which include the submission and the answer.
 	Task   *contract.TaskID
 	Worker machine.WorkerID
-	// VM selects the events that the VM recorded and those that name it as peer.
+	// VM selects the events recorded by the VM and those that name it as peer.
 	VM string
-	// Kinds are names or their first parts, for example "grant.issued" or "grant".
+	// Kinds are names or their prefixes before a dot, for example "grant.issued" or "grant".
 	Kinds []string
 	From  time.Time
 	To    time.Time
@@ -35,7 +35,7 @@
 	paramTo     = "to"
 )
 
-// ParseFilter reads a filter from query parameters.
+// ParseFilter parses a filter from query parameters.
 func ParseFilter(q url.Values) (Filter, error) {
 	f := Filter{Worker: machine.WorkerID(q.Get(paramWorker)), VM: q.Get(paramVM), Kinds: q[paramKind]}
 	if text := q.Get(paramJob); text != "" {
@@ -65,7 +65,7 @@
 	return f, err
 }
 
-// Query writes the filter as query parameters.
+// Query returns the filter as query parameters.
 func (f Filter) Query() url.Values {
 	q := url.Values{}
 	set := func(name, value string) {
--- a/timeline/gap.go
+++ b/timeline/gap.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// gaps describes what the part lacks.
+// gaps describes the events that are missing from the part.
 func (p Part) gaps() []string {
 	name := p.Process
 	if name == "" {
--- a/timeline/kind.go
+++ b/timeline/kind.go
@@ -1,10 +1,10 @@
 package timeline
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
-// Kinds of events. A kind whose name begins with "task." or "run." speaks of one task, one that begins with "job." of
-// a job. Events "run.*" are recorded by workers, all others by entry VMs.
+// Kinds of events. Kinds whose names begin with "task." or "run." concern one task, those with "job." one job. Workers
+// record the "run." events, entry VMs all others.
 const (
 	KindNone Kind = iota
 	JobAccepted
--- a/timeline/merge_test.go
+++ b/timeline/merge_test.go
@@ -13,8 +13,8 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// Guards against an order by wall clocks: the worker's clock here is behind the home's, yet its events come between
-// the start and the outcome.
+// Guards against ordering by wall clocks: the worker's clock is an hour behind that of the home, but its events must
+// come between the start and the outcome.
 func TestMergeFollowsOneTaskAcrossProcesses(t *testing.T) {
 	home, worker := &Clock{}, &Clock{}
 	id := contract.TaskID{Job: contract.JobID{Domain: 1, Home: 7, Seq: 3}, Index: 2}
@@ -63,8 +63,8 @@
 	return ParseFilter(q)
 }
 
-// Guards against filters that let foreign events through or drop wanted ones, and against a query that does not
-// survive its way to another process.
+// Guards against filters that pass non-matching events or drop matching ones, and against a filter that changes when it
+// is encoded as a query and parsed again.
 func TestFilters(t *testing.T) {
 	r := NewRing(Process{VM: "entry-1", Incarnation: 7}, 64, &Clock{}, fixedNow)
 	r.Record(Event{Kind: GrantIssued, Peer: "entry-2", Worker: "worker-1"})
--- a/timeline/output.go
+++ b/timeline/output.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// WriteText prints a line per event, and the gaps after them.
+// WriteText prints one line per event, followed by the gaps.
 func (t Timeline) WriteText(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	for i := range t.Records {
-		// A write error is kept by the buffer and returned by Flush.
+		// Flush returns the first write error.
 		_, _ = fmt.Fprintln(b, t.Records[i].line())
 	}
 	for _, g := range t.Gaps {
@@ -47,7 +47,7 @@
 	return s.String()
 }
 
-// shortIncarnation keeps enough digits to tell the runs of one VM apart.
+// shortIncarnation keeps enough digits to distinguish the incarnations of one VM.
 func shortIncarnation(text string) string { return text[:min(len(text), 4)] }
 
 // WriteJSON prints the timeline as one JSON object.
--- a/timeline/record.go
+++ b/timeline/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Record is an event in the form that leaves its process.
+// Record is the encoded form of an event.
 type Record struct {
 	Lamport     uint64    `json:"lamport"`
 	Process     string    `json:"process"`
@@ -21,24 +21,24 @@
 	Count       int64     `json:"count,omitempty"`
 }
 
-// Part is what one process contributes to a timeline.
+// Part is the contribution of one process to a timeline.
 type Part struct {
 	// Source is the address that the part was collected from.
 	Source      string `json:"source,omitempty"`
 	Process     string `json:"process"`
 	Incarnation string `json:"incarnation"`
-	// Off says that the process records nothing now.
+	// Off is set if recording is disabled in the process.
 	Off bool `json:"off,omitempty"`
-	// Overwritten counts the events that the ring no longer holds; the latest of them has Lamport time LostThrough.
+	// Overwritten counts the events that the ring has overwritten; the latest of them has Lamport time LostThrough.
 	Overwritten uint64 `json:"overwritten,omitempty"`
 	LostThrough uint64 `json:"lost_through,omitempty"`
-	// Withheld counts matching events beyond the limit of the request; they are the oldest ones.
+	// Withheld counts the matching events left out because of the request's limit; they are the oldest ones.
 	Withheld int      `json:"withheld,omitempty"`
 	Error    string   `json:"error,omitempty"`
 	Records  []Record `json:"records"`
 }
 
-// Part returns the ring's events that pass the filter, at most limit of the latest if limit is positive.
+// Part returns the events of the ring that match the filter; if limit is positive, at most the latest limit ones.
 func (r *Ring) Part(f Filter, limit int) Part {
 	if r == nil {
 		return Part{Off: true}
@@ -46,7 +46,7 @@
 	s := r.Snapshot(func(e *Event) bool { return f.matches(r.process.VM, e) })
 	sort.Slice(s.Events, func(i, j int) bool { return s.Events[i].Lamport < s.Events[j].Lamport })
 	p := Part{
-		Process: s.Process.VM, Incarnation: s.Process.Incarnation.String(), Off: r.off.Load(),
+		Process: s.Process.VM, Incarnation: s.Process.Incarnation.String(), Off: r.disabled.Load(),
 		Overwritten: s.Overwritten, LostThrough: s.LostThrough, Records: []Record{},
 	}
 	if limit > 0 && len(s.Events) > limit {
@@ -80,11 +80,11 @@
 // Timeline is the merged history of several processes.
 type Timeline struct {
 	Records []Record `json:"records"`
-	// Gaps name the processes whose part is missing or incomplete.
+	// Gaps describes the parts that are missing or incomplete.
 	Gaps []string `json:"gaps"`
 }
 
-// Merge joins the parts into one order in which every event comes after its causes.
+// Merge merges the parts into one order in which every event comes after its causes.
 func Merge(parts []Part) Timeline {
 	t := Timeline{Records: []Record{}, Gaps: []string{}}
 	for _, p := range parts {
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -15,8 +15,8 @@
 	DefaultEvents = 64 << 10
 )
 
-// Event is something that happened in a process. The ring sets Sequence, Lamport and Wall. Strings must be shared
-// with the caller's state and not be formatted for the event, since recording lies on the path of each start.
+// Event is an event of a process. The ring sets Sequence, Lamport and Wall. Strings must be references to existing
+// state rather than formatted for the event, because recording is on the path of each start.
 type Event struct {
 	Kind     Kind
 	Sequence uint64
@@ -26,24 +26,24 @@
 	Worker   machine.WorkerID
 	Peer     string
 	Detail   string
-	// Count is the number that belongs to the event: slots of a grant, tasks of a job, a revision.
+	// Count is a number that depends on the kind: slots of a grant, tasks of a job, a revision.
 	Count int64
 }
 
-// Process identifies who records.
+// Process identifies the process that records events.
 type Process struct {
 	VM          string
 	Incarnation machine.Incarnation
 }
 
-// Ring keeps the last events of a process in stripes, each under its own lock. A nil ring records nothing.
+// Ring keeps the latest events of a process in stripes, each under its own lock. A nil ring records nothing.
 type Ring struct {
-	process Process
-	clock   *Clock
-	now     func() time.Time
-	off     atomic.Bool
-	next    atomic.Uint64
-	stripes [ringStripes]stripe
+	process  Process
+	clock    *Clock
+	now      func() time.Time
+	disabled atomic.Bool
+	next     atomic.Uint64
+	stripes  [ringStripes]stripe
 }
 
 // stripe is a part of the ring. mu guards all fields.
@@ -53,11 +53,11 @@
 	written uint64
 	// lost is the Lamport time of the latest event that was overwritten.
 	lost uint64
-	// The padding keeps neighbouring locks on separate cache lines.
+	// The padding keeps the locks of adjacent stripes on separate cache lines.
 	_ [64]byte
 }
 
-// NewRing returns a ring for the given number of events.
+// NewRing returns a ring that holds the given number of events.
 func NewRing(p Process, events int, clock *Clock, now func() time.Time) *Ring {
 	r := &Ring{process: p, clock: clock, now: now}
 	per := max(1, events/ringStripes)
@@ -67,12 +67,12 @@
 	return r
 }
 
-// Switch turns recording on or off.
-func (r *Ring) Switch(on bool) { r.off.Store(!on) }
+// Switch enables or disables recording.
+func (r *Ring) Switch(on bool) { r.disabled.Store(!on) }
 
-// Record adds an event at the next tick of the clock.
+// Record ticks the clock and adds an event with the new time.
 func (r *Ring) Record(e Event) {
-	if r == nil || r.off.Load() {
+	if r == nil || r.disabled.Load() {
 		return
 	}
 	e.Sequence = r.next.Add(1)
@@ -103,12 +103,12 @@
 type Snapshot struct {
 	Process Process
 	Events  []Event
-	// Overwritten counts the events that the ring no longer holds; the latest of them happened at LostThrough.
+	// Overwritten counts the events that the ring has overwritten; the latest of them has Lamport time LostThrough.
 	Overwritten uint64
 	LostThrough uint64
 }
 
-// Snapshot copies the events for which keep returns true; a nil keep takes all.
+// Snapshot copies the events for which keep returns true, or all events if keep is nil.
 func (r *Ring) Snapshot(keep func(*Event) bool) Snapshot {
 	if r == nil {
 		return Snapshot{}
--- a/timeline/ring_test.go
+++ b/timeline/ring_test.go
@@ -12,8 +12,8 @@
 
 func fixedNow() time.Time { return time.Unix(1, 0) }
 
-// Guards against a ring that grows, loses events silently, or reports a wrong place of the gap.
-func TestRingReportsWhatItOverwrote(t *testing.T) {
+// Guards against a ring that grows, loses events without counting them, or reports a wrong position of the gap.
+func TestRingReportsOverwrittenEvents(t *testing.T) {
 	r := NewRing(Process{VM: "entry-1"}, 16, &Clock{}, fixedNow)
 	for i := range 40 {
 		r.Job(JobAccepted, contract.JobID{Seq: uint64(i + 1)}, "", 1)
@@ -27,7 +27,7 @@
 	}
 }
 
-// Guards against two events of one process with the same Lamport time, which would leave their order open.
+// Guards against two events of one process with the same Lamport time, whose order would be undefined.
 func TestConcurrentEventsHaveDistinctTimes(t *testing.T) {
 	clock := &Clock{}
 	r := NewRing(Process{VM: "entry-1"}, 4096, clock, fixedNow)
@@ -49,7 +49,7 @@
 	require.Len(t, seen, 800)
 }
 
-// Guards against allocation on the path of each start, and against a switch that does not stop recording.
+// Guards against allocations on the path of each start and against Switch(false) not disabling recording.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	r := NewRing(Process{VM: "entry-1"}, 1024, &Clock{}, fixedNow)
 	e := Event{Kind: TaskStarted, Worker: "worker-1"}
@@ -58,9 +58,9 @@
 	before := len(r.Snapshot(nil).Events)
 	r.Record(e)
 	require.Len(t, r.Snapshot(nil).Events, before)
-	var none *Ring
-	none.Record(e)
-	require.Empty(t, none.Snapshot(nil).Events)
+	var nilRing *Ring
+	nilRing.Record(e)
+	require.Empty(t, nilRing.Snapshot(nil).Events)
 }
 
 func BenchmarkRecord(b *testing.B) {
--- a/timeline/trace.go
+++ b/timeline/trace.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// traceEvent is an event of the trace event format, which the trace viewers of browsers open.
+// traceEvent is an event in the trace event format of browsers' trace viewers.
 type traceEvent struct {
 	Name     string         `json:"name"`
 	Category string         `json:"cat,omitempty"`
@@ -19,7 +19,7 @@
 	Args     map[string]any `json:"args,omitempty"`
 }
 
-// Phases of the format.
+// Phases of the trace event format.
 const (
 	phaseBegin    = "b"
 	phaseEnd      = "e"
@@ -27,7 +27,7 @@
 	phaseMetadata = "M"
 )
 
-// span says which events begin and end an interval in a process.
+// spanBegin and spanEnd map the event kinds that begin and end an interval within a process to the kind of interval.
 var spanBegin = map[string]string{
 	JobAccepted.String(): "job", TaskStarted.String(): "task", RunStarted.String(): "run",
 }
@@ -38,7 +38,7 @@
 	RunEnded.String(): "run",
 }
 
-// tracer assigns numbers to processes and remembers the intervals that are open.
+// tracer converts records to trace events. It numbers the processes and tracks open intervals.
 type tracer struct {
 	processes map[string]int
 	open      map[string]bool
@@ -87,7 +87,7 @@
 	tr.out = append(tr.out, e)
 }
 
-// process returns the number of a process and names it at its first event.
+// process returns the number of a process. For its first event it also emits the name of the process.
 func (tr *tracer) process(r *Record) int {
 	name := r.Process + " " + r.Incarnation
 	n, ok := tr.processes[name]
