--- a/metric/describe.go
+++ b/metric/describe.go
@@ -1,34 +1,34 @@
 package metric
 
-// Description explains a metric to operators.
+// Description is the name and help text of a metric.
 type Description struct {
 	Name string
 	Help string
 }
 
-// Descriptions returns the explanation of each name, for the exposition and the status page.
+// Descriptions returns the help texts of all metrics, for the exposition and the status page.
 func Descriptions() []Description {
 	return []Description{
-		{JobsMinted, "job ids handed out"},
+		{JobsMinted, "job ids issued"},
 		{JobsAccepted, "jobs accepted by this home"},
 		{JobsResubmitted, "submissions of a job that was accepted before"},
-		{JobsComplete, "jobs answered complete"},
-		{JobsFailed, "jobs answered failed"},
-		{JobsRefused, "jobs refused as not run"},
+		{JobsComplete, "jobs with the verdict complete"},
+		{JobsFailed, "jobs with the verdict failed"},
+		{JobsRefused, "jobs refused and not run"},
 		{JobsCancelled, "cancellations of jobs of this home"},
 		{JobsForwarded, "calls forwarded to another home"},
 		{TasksStarted, "starts sent to workers"},
-		{TasksDone, "tasks that ended with a result"},
+		{TasksDone, "tasks that completed with a result"},
 		{TasksFailed, "tasks that the back end failed"},
-		{TasksNotRun, "tasks proven not executed"},
-		{TasksUnknown, "tasks whose outcome cannot be proven"},
-		{TasksInDoubt, "starts sent and not answered"},
+		{TasksNotRun, "tasks proven not to have run"},
+		{TasksUnknown, "tasks whose outcome is unknown"},
+		{TasksInDoubt, "starts sent without a reply from the worker"},
 		{TasksResolved, "starts in doubt whose outcome the worker reported"},
-		{TasksOutgrown, "running tasks that outgrew their class and count as long work from then on"},
+		{TasksOutgrown, "running tasks that exceeded the short-task limit and were reclassified as long"},
 		{TasksStraggling, "running tasks that became stragglers of their kind"},
 		{StartsRejected, "starts proven not to have happened"},
 		{StartsNotSent, "starts that were never written to a socket, part of starts.rejected"},
-		{GrantsReceived, "slots received from granters"},
+		{GrantsReceived, "slots received from slot allocators"},
 		{GrantsUnused, "slots returned without a start"},
 		{GrantsIssued, "slots granted by this VM, including to itself"},
 		{DemandsSent, "demands for slots"},
@@ -39,9 +39,9 @@
 		{PeerMessagesDropped, "messages dropped because a link's outbox was full"},
 		{PeerBytesSent, "bytes of envelopes sent to other entry VMs"},
 		{PeerLinksOpened, "connections opened to other entry VMs"},
-		{PeerLinksReplaced, "connections to other entry VMs that failed or went silent"},
+		{PeerLinksReplaced, "connections to other entry VMs that failed or stopped acknowledging"},
 		{MembersLive, "live members of the failure domain, including this VM"},
-		{InvalidRequests, "calls refused as malformed"},
+		{InvalidRequests, "calls rejected as malformed"},
 		{InvariantChecks, "checks of invariants performed"},
 		{InvariantViolations, "violations of invariants found"},
 		{ConfigRevision, "revision of the configuration in effect"},
@@ -50,17 +50,17 @@
 		{QueueWaiting, "tasks that wait for a slot"},
 		{PoolStarts, "start calls to owned workers"},
 		{PoolStartsRejected, "start calls that provably started nothing"},
-		{PoolStartsInDoubt, "start calls without an answer"},
+		{PoolStartsInDoubt, "start calls without a reply"},
 		{PoolRunsUnwanted, "runs stopped because their home did not refresh or claim them"},
-		{PoolRunsStalled, "runs stopped because they stood still"},
+		{PoolRunsStalled, "runs stopped because they made no progress"},
 		{PoolWorkersAcquired, "workers acquired with a new fencing token"},
 		{PoolWorkersLost, "workers taken by another VM"},
 		{BatchJobsAccepted, "jobs accepted whose answer is the reply to their submission"},
-		{BatchJobsRefused, "such jobs refused because they could not end in time"},
-		{BatchTasksMoved, "queued tasks moved to an owner with room"},
+		{BatchJobsRefused, "such jobs refused because they could not finish before the deadline"},
+		{BatchTasksMoved, "queued tasks moved to an owner with free capacity"},
 		{BatchAnswerTime, "time from the arrival of a job to its answer, in microseconds"},
-		{PoolQueueTime, "time that a task waits for room at the owner of workers, in microseconds"},
-		{PoolCallTime, "time of a start call to a worker, in microseconds"},
+		{PoolQueueTime, "time that a task waits for free capacity at the owner of workers, in microseconds"},
+		{PoolCallTime, "duration of a start call to a worker, in microseconds"},
 		{SlotsHeld, "slots held by this VM, idle or busy"},
 	}
 }
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric lists the names of all metrics.
+// Package metric defines the names of all metrics.
 package metric
 
 // Names of counters, gauges and timers. Operators rely on them; docs/OPERATIONS.md describes each.
--- a/metric/metric_test.go
+++ b/metric/metric_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// declared returns the names of the constants of metric.go and their values.
+// declared returns the constants of metric.go by name, with their values.
 func declared(t *testing.T) map[string]string {
 	file, err := parser.ParseFile(token.NewFileSet(), "metric.go", nil, 0)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Guards against a metric that operators see without an explanation.
+// Guards against a metric without a help text or without an entry in docs/OPERATIONS.md.
 func TestEveryMetricIsDocumented(t *testing.T) {
 	described := map[string]bool{}
 	for _, d := range Descriptions() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against a metric that is always zero because nothing counts it.
-func TestEveryMetricIsCounted(t *testing.T) {
+// Guards against a metric that is always zero because no code updates it.
+func TestEveryMetricIsUpdated(t *testing.T) {
 	var code strings.Builder
 	err := filepath.WalkDir("..", func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -60,6 +60,6 @@
 	})
 	require.NoError(t, err)
 	for name := range declared(t) {
-		require.True(t, strings.Contains(code.String(), "metric."+name), "no code counts %s", name)
+		require.True(t, strings.Contains(code.String(), "metric."+name), "no code updates %s", name)
 	}
 }
