--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault defines the error types of the dispatcher. A type says what is proven about the execution of the
-// task or job that the error speaks of, and traits say whether a retry is safe.
+// Package fault defines the error types of the dispatcher. The type of an error states what is proven about the
+// execution of its task or job; the traits of the type state whether a retry is safe.
 package fault
 
 import (
@@ -11,7 +11,7 @@
 
 // Traits of the error types.
 var (
-	// ProvenNotStarted marks errors after which nothing was or will be executed.
+	// ProvenNotStarted marks errors that prove that nothing has been or will be executed.
 	ProvenNotStarted = errorx.RegisterTrait("proven_not_started")
 	// Retriable marks errors after which the same call may succeed later.
 	Retriable = errorx.RegisterTrait("retriable")
@@ -21,33 +21,33 @@
 
 // Error types.
 var (
-	// NotStarted says that a start was never written to a socket or was rejected by the worker.
+	// NotStarted means that a start was never written to a socket or was rejected by the worker.
 	NotStarted = namespace.NewType("not_started", ProvenNotStarted, Retriable)
-	// InDoubt says that a start was sent and not answered.
+	// InDoubt means that a start was sent and no reply was received.
 	InDoubt = namespace.NewType("in_doubt")
-	// Refused says that a job was not accepted.
+	// Refused means that a job was not accepted.
 	Refused = namespace.NewType("refused", ProvenNotStarted)
 	// Overloaded is a refusal for lack of capacity or quota.
 	Overloaded = namespace.NewType("overloaded", ProvenNotStarted, Retriable)
 	// Draining is a refusal by an entry VM that is stopping.
 	Draining = namespace.NewType("draining", ProvenNotStarted, Retriable)
-	// Invalid says that the input is malformed.
+	// Invalid means that the input is malformed.
 	Invalid = namespace.NewType("invalid", ProvenNotStarted)
-	// UnknownJob says that the id was never minted or never submitted.
+	// UnknownJob means that the id was never issued or never submitted.
 	UnknownJob = namespace.NewType("unknown_job")
-	// Expired says that the answer is no longer kept.
+	// Expired means that the answer is no longer retained.
 	Expired = namespace.NewType("expired")
-	// Unavailable says that the process which knows the answer cannot be reached now.
+	// Unavailable means that the process that holds the answer is currently unreachable.
 	Unavailable = namespace.NewType("unavailable", Retriable)
-	// Failed says that the back end failed a task, or that the job of a finished task was not complete.
+	// Failed means that the back end failed a task, or that the job of a finished task was not complete.
 	Failed = namespace.NewType("failed")
-	// HandedOver says that the job was handed over to the successor of its home, which answers for it.
+	// HandedOver means that the job was handed over to the successor of its home, which answers for it.
 	HandedOver = namespace.NewType("handed_over", Retriable)
-	// NeverAccepted says that a complete hand-over proves that the job was never accepted by its home.
+	// NeverAccepted means that a complete hand-over proves that the home never accepted the job.
 	NeverAccepted = namespace.NewType("never_accepted", ProvenNotStarted)
-	// Lost says that the home of the job is gone without having handed the job over.
+	// Lost means that the home of the job is gone and did not hand the job over.
 	Lost = namespace.NewType("lost")
-	// Violation reports a broken invariant of the program.
+	// Violation means that an invariant of the program is violated.
 	Violation = namespace.NewType("violation")
 )
 
@@ -57,22 +57,22 @@
 // ReasonNotSent is the reason of a NotStarted error when the start was never written to a socket.
 const ReasonNotSent = "not sent"
 
-// Reasons with which a job that did not run may be submitted under another id.
+// Reasons after which a job that did not run may be submitted under another id.
 const (
-	// ReasonDraining is the reason of a refusal by a home that stops.
+	// ReasonDraining is the reason of a refusal by a home that is stopping.
 	ReasonDraining = "draining"
 	// ReasonHomeClosed is the reason of a refusal by the successor of a home that never accepted the job.
 	ReasonHomeClosed = "home closed"
-	// ReasonHomeGone says that the home was gone before the call could be forwarded to it. It proves that the job did
-	// not run only to a caller that has sent no other copy.
+	// ReasonHomeGone means that the home was gone before the call could be forwarded to it. It proves that the job did
+	// not run only if the caller has sent no other copy.
 	ReasonHomeGone = "home gone"
 )
 
-// ReasonIDTooOld is the reason of an Expired error for a submission that was not accepted. Like ReasonHomeGone it proves
-// that the job did not run only to a caller that has sent no other copy.
+// ReasonIDTooOld is the reason of an Expired error for a submission that was not accepted. Like ReasonHomeGone it
+// proves that the job did not run only if the caller has sent no other copy.
 const ReasonIDTooOld = "id too old"
 
-// ReasonRunning is the reason of an Unavailable error when a worker has confirmed that a task in doubt still runs.
+// ReasonRunning is the reason of an Unavailable error if a worker has confirmed that a task in doubt is still running.
 const ReasonRunning = "still running"
 
 var byCode = map[string]*errorx.Type{}
@@ -86,7 +86,7 @@
 	}
 }
 
-// Code returns the name of the error's type for the wire, empty for foreign errors.
+// Code returns the wire name of the error's type, or an empty string for an error of another package.
 func Code(err error) string {
 	e := errorx.Cast(err)
 	if e == nil {
@@ -95,7 +95,7 @@
 	return e.Type().FullName()
 }
 
-// FromCode rebuilds an error that another process reported.
+// FromCode reconstructs an error that another process reported. An unknown code becomes Unavailable.
 func FromCode(code, text, reason string) error {
 	t, ok := byCode[code]
 	if !ok {
@@ -104,7 +104,7 @@
 	return t.New("%s", text).WithProperty(ReasonProperty, reason)
 }
 
-// Reason returns the reason attached to the error, or its type's short name.
+// Reason returns the reason attached to the error, or the full name of its type.
 func Reason(err error) string {
 	e := errorx.Cast(err)
 	if e == nil {
@@ -118,28 +118,28 @@
 	return e.Type().FullName()
 }
 
-// With attaches a reason to a new error of type t.
+// With returns a new error of type t with a reason.
 func With(t *errorx.Type, reason, format string, args ...any) error {
 	return t.New(format, args...).WithProperty(ReasonProperty, reason)
 }
 
-// IsProvenNotStarted reports whether err proves that nothing was executed.
+// IsProvenNotStarted reports whether err proves that nothing has been or will be executed.
 func IsProvenNotStarted(err error) bool { return errorx.HasTrait(err, ProvenNotStarted) }
 
 // IsRetriable reports whether the same call may succeed later.
 func IsRetriable(err error) bool { return errorx.HasTrait(err, Retriable) }
 
-// RetryAfterProperty holds the time after which a refused call may succeed.
+// RetryAfterProperty holds the duration after which a refused call may succeed.
 var RetryAfterProperty = errorx.RegisterProperty("retry_after")
 
-// Overload returns a refusal for lack of capacity with a hint when to retry.
+// Overload returns a refusal for lack of capacity with a hint about when to retry.
 func Overload(reason string, retryAfter time.Duration, format string, args ...any) error {
 	text := fmt.Sprintf(format, args...) + ", retry after " + retryAfter.Round(time.Millisecond).String()
 	return Overloaded.New("%s", text).WithProperty(ReasonProperty, reason).
 		WithProperty(RetryAfterProperty, retryAfter)
 }
 
-// RetryAfter returns the hint attached to the error, zero if there is none.
+// RetryAfter returns the retry hint attached to the error, or zero if there is none.
 func RetryAfter(err error) time.Duration {
 	e := errorx.Cast(err)
 	if e == nil {
