--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -1,5 +1,5 @@
-// Package bootclock tells a time that goes on while the machine is suspended. The steady clock of the operating system, by
-// which Go measures, stands still meanwhile: what was heard before a suspension would count as fresh after it.
+// Package bootclock provides a clock that continues while the machine is suspended. The monotonic clock of Go stops
+// during a suspension, so a message received before it would be treated as recent after it.
 package bootclock
 
 import (
@@ -10,60 +10,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerance is the difference between the courses of the time of day and the steady clock up to which no suspension is
-// looked for. It covers the adjustment of the time of day and the rounding of both.
+// tolerance is the drift between the wall clock and the monotonic clock up to which no suspension is assumed. It covers
+// the adjustment of the wall clock and the rounding of both.
 const tolerance = 10 * time.Millisecond
 
-// Clock is a clock that counts suspensions. Its times are compared with each other only.
+// Clock is a clock that includes suspensions. Its times may only be compared with each other.
 type Clock struct {
 	begin time.Time
-	// stood is how long the machine has been suspended since begin, lead how far the time of day was ahead of the steady
-	// clock when that was last looked up. Both are in nanoseconds.
-	stood, lead atomic.Int64
+	// suspended is how long the machine has been suspended since begin; wallLead is how far the wall clock was ahead of
+	// the monotonic clock when that was last read. Both are in nanoseconds.
+	suspended, wallLead atomic.Int64
 
-	// mu is held while stood and lead are looked up.
-	mu    sync.Mutex
-	first time.Duration
-	// read returns the steady clock's lag behind the clock that counts suspensions.
-	read func() time.Duration
+	// mu serializes updates of suspended and wallLead.
+	mu         sync.Mutex
+	initialLag time.Duration
+	// readLag returns how far the monotonic clock is behind the clock that includes suspensions.
+	readLag func() time.Duration
 }
 
-// New returns a clock.
+// New returns a clock that starts at the current time.
 func New() *Clock { return newClock(systemLag) }
 
-func newClock(read func() time.Duration) *Clock {
-	return &Clock{begin: time.Now(), first: read(), read: read}
+func newClock(readLag func() time.Duration) *Clock {
+	return &Clock{begin: time.Now(), initialLag: readLag(), readLag: readLag}
 }
 
-// Now returns the time. Only a suspension, or a step of the time of day, costs more than a call of time.Now.
+// Now returns the time. It costs more than time.Now only after a suspension or a step of the wall clock.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	return c.at(now.Sub(c.begin), now.Round(0).Sub(c.begin.Round(0)))
 }
 
-// at returns the time when the steady clock and the time of day have advanced so far since begin.
-func (c *Clock) at(steady, wall time.Duration) time.Time {
-	lead := wall - steady
-	if d := lead - time.Duration(c.lead.Load()); d > tolerance || d < -tolerance {
-		c.lookUp(lead)
+// at returns the time, given how far the monotonic and the wall clock have advanced since begin.
+func (c *Clock) at(monotonic, wall time.Duration) time.Time {
+	wallLead := wall - monotonic
+	if d := wallLead - time.Duration(c.wallLead.Load()); d > tolerance || d < -tolerance {
+		c.update(wallLead)
 	}
-	return c.begin.Add(steady + time.Duration(c.stood.Load()))
+	return c.begin.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// lookUp asks the operating system how long the machine has been suspended.
-func (c *Clock) lookUp(lead time.Duration) {
+// update reads from the operating system how long the machine has been suspended.
+func (c *Clock) update(wallLead time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stood.Store(int64(max(c.read()-c.first, 0)))
-	c.lead.Store(int64(lead))
+	c.suspended.Store(int64(max(c.readLag()-c.initialLag, 0)))
+	c.wallLead.Store(int64(wallLead))
 }
 
 // systemLag returns how far CLOCK_MONOTONIC is behind CLOCK_BOOTTIME.
 func systemLag() time.Duration {
-	var steady, boot unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
-		// Without the second clock there is no sign of a suspension.
+	var monotonic, boot unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+		// Without both clocks a suspension cannot be detected.
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
--- a/internal/child/process.go
+++ b/internal/child/process.go
@@ -1,4 +1,4 @@
-// Package child runs programs as child processes, which tests stop, pause and end by signals.
+// Package child runs programs as child processes that tests control by signals.
 package child
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Process is one child process. mu guards the error of its end.
+// Process is a child process. mu guards err.
 type Process struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
@@ -18,7 +18,7 @@
 	err error
 }
 
-// Start runs a program whose output is appended to a file.
+// Start starts a program. Its output is appended to a file.
 func Start(output, program string, args ...string) (*Process, error) {
 	out, err := os.OpenFile(output, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -41,21 +41,21 @@
 	return p, nil
 }
 
-// Signal sends a signal. A process that has ended gets none.
+// Signal sends a signal. It has no effect on a process that has exited.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Err returns the error with which the process has ended.
+// Err returns the exit error of the process.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Wait returns when the process has ended, with its error, or false after the timeout.
-func (p *Process) Wait(timeout time.Duration) (error, bool) { //nolint:revive // The error is a result, not a failure.
+// Wait waits for the process to exit and returns its exit error and true, or false after the timeout.
+func (p *Process) Wait(timeout time.Duration) (error, bool) { //nolint:revive // The error is the result of the process, not of Wait.
 	select {
 	case <-p.exited:
 		return p.Err(), true
--- a/internal/httpserve/events.go
+++ b/internal/httpserve/events.go
@@ -11,7 +11,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// Events serves GET /events from a ring, filtered by the query.
+// Events returns the handler of GET /events, which serves the events of a ring that match the query.
 func Events(r *timeline.Ring) app.HandlerFunc {
 	return func(_ context.Context, c *app.RequestContext) {
 		q, err := url.ParseQuery(string(c.URI().QueryString()))
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -18,12 +18,13 @@
 
 const (
 	maxBodyBytes = 8 << 20
-	// stopTimeout is the time that requests in flight have to end; idle connections of clients take all of it.
+	// stopTimeout bounds the wait for requests in flight. Idle client connections use up all of it.
 	stopTimeout = 200 * time.Millisecond
 )
 
-// quiet turns hertz's own log off. Its level is a global variable without a lock, which servers that run read.
-var quiet = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
+// disableHertzLog silences the log of hertz, once: the level is a global variable that running servers read without a
+// lock.
+var disableHertzLog = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
 
 // Server is a hertz server on one listener.
 type Server struct {
@@ -32,9 +33,9 @@
 	done     chan error
 }
 
-// New returns a server that does not serve yet. A TLS configuration is optional.
+// New returns a server that is not started. The TLS configuration may be nil.
 func New(l net.Listener, t *tls.Config) *Server {
-	quiet()
+	disableHertzLog()
 	opts := []config.Option{
 		server.WithListener(l),
 		server.WithTransport(standard.NewTransporter),
@@ -63,12 +64,12 @@
 // Address returns the listener's address.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Stop closes the listener and waits briefly for requests in flight.
+// Stop closes the listener and waits a short time for requests in flight.
 func (s *Server) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := s.Shutdown(ctx)
-	// Closing twice is harmless and covers a server that never ran.
+	// Closing twice is harmless; this closes the listener of a server that was never started.
 	_ = s.listener.Close()
 	return err
 }
--- a/internal/logbuffer/logbuffer.go
+++ b/internal/logbuffer/logbuffer.go
@@ -1,5 +1,5 @@
-// Package logbuffer keeps log lines from blocking those who write them. Lines wait in a bounded buffer for a writer of
-// their own; what does not fit, or exceeds the rate, is counted and reported by a line once there is room again.
+// Package logbuffer decouples logging from a slow log output. A goroutine writes the lines from a bounded buffer; lines
+// that do not fit or exceed the rate are dropped, and a log line reports their number once lines are accepted again.
 package logbuffer
 
 import (
@@ -10,17 +10,17 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait for the writer.
+	// bufferBytes bounds the size of the queued lines.
 	bufferBytes = 1 << 20
-	// bytesPerSecond bounds what is written in the long run, burstBytes what may be written at once. A daemon on the
-	// users' sites writes 30 to 60 KB a second at the crest.
+	// bytesPerSecond bounds the average write rate, burstBytes the size of a burst. A daemon on the users' sites writes
+	// 30 to 60 KB per second at peak load.
 	bytesPerSecond = 512 << 10
 	burstBytes     = 2 << 20
-	// flushInterval is how long lines are collected before they are written.
+	// flushInterval is the minimum time between two writes, in which lines are batched.
 	flushInterval = 20 * time.Millisecond
 )
 
-// Buffer is an io.Writer that never blocks on the writer behind it. mu guards all fields below it.
+// Buffer is an io.Writer that never blocks on the underlying writer. mu guards all fields below it.
 type Buffer struct {
 	out    io.Writer
 	now    func() time.Time
@@ -28,30 +28,30 @@
 	closed chan struct{}
 	done   chan struct{}
 
-	mu      sync.Mutex
-	lines   []byte
-	spare   []byte
-	dropped int
-	budget  float64
-	filled  time.Time
+	mu       sync.Mutex
+	lines    []byte
+	spare    []byte
+	dropped  int
+	budget   float64
+	refilled time.Time
 }
 
-// New returns a buffer in front of out.
+// New returns a buffer that writes to out.
 func New(out io.Writer, now func() time.Time) *Buffer {
 	b := &Buffer{
 		out: out, now: now, wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{}),
-		budget: burstBytes, filled: now(),
+		budget: burstBytes, refilled: now(),
 	}
 	go b.run()
 	return b
 }
 
-// Write queues a line. It reports success for a line that is dropped, so that the caller goes on.
+// Write queues a line. It reports success for a dropped line too, so that callers do not treat it as an error.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	now := b.now()
-	b.budget = min(b.budget+bytesPerSecond*now.Sub(b.filled).Seconds(), burstBytes)
-	b.filled = now
+	b.budget = min(b.budget+bytesPerSecond*now.Sub(b.refilled).Seconds(), burstBytes)
+	b.refilled = now
 	if len(b.lines)+len(line) > bufferBytes || b.budget < float64(len(line)) {
 		b.dropped++
 		b.mu.Unlock()
@@ -72,7 +72,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits, and ends the writer.
+// Close writes the queued lines and stops the writer goroutine.
 func (b *Buffer) Close() {
 	close(b.closed)
 	<-b.done
@@ -95,7 +95,7 @@
 	}
 }
 
-// flush writes all lines that wait. A writer that fails loses them, since there is nowhere left to report it.
+// flush writes all queued lines. If the write fails, they are lost: there is no other place to report the error.
 func (b *Buffer) flush() {
 	b.mu.Lock()
 	lines := b.lines
--- a/internal/logbuffer/logbuffer_test.go
+++ b/internal/logbuffer/logbuffer_test.go
@@ -11,24 +11,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckWriter blocks until it is released.
-type stuckWriter struct {
+// blockedWriter blocks until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	written bytes.Buffer
 }
 
-func (w *stuckWriter) Write(b []byte) (int, error) {
+func (w *blockedWriter) Write(b []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.written.Write(b)
 }
 
-// Guards against a process that stands still because nobody reads its log, and against lines that are lost unreported.
-func TestStuckReaderDoesNotBlock(t *testing.T) {
+// Guards against a process that blocks because its log is not read, and against dropped lines that are not reported.
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &stuckWriter{release: make(chan struct{})}
+		w := &blockedWriter{release: make(chan struct{})}
 		b := New(w, time.Now)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
 		for range 4000 {
@@ -48,10 +48,10 @@
 	})
 }
 
-// Guards against a flood of lines that takes the processor from the work.
+// Guards against a flood of log lines that uses up the CPU.
 func TestRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &stuckWriter{release: make(chan struct{})}
+		w := &blockedWriter{release: make(chan struct{})}
 		close(w.release)
 		b := New(w, time.Now)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -18,14 +18,14 @@
 
 const validity = 24 * time.Hour
 
-// Files name a certificate, its key and the authority that signed it.
+// Files names the files of a certificate, its key and the authority that signed it.
 type Files struct {
 	Certificate string
 	Key         string
 	CA          string
 }
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	path string
 	cert *x509.Certificate
@@ -41,7 +41,7 @@
 	return a
 }
 
-// Issue writes a certificate for the usual loopback addresses and the given ones, usable by servers and clients.
+// Issue writes a certificate for 127.0.0.1, ::1 and the given addresses, for use by servers and clients.
 func (a *Authority) Issue(t testing.TB, dir, name string, addresses ...net.IP) Files {
 	t.Helper()
 	f := Files{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: a.path}
@@ -70,8 +70,8 @@
 	return key
 }
 
-func sign(t testing.TB, c, parent *x509.Certificate, key, by *ecdsa.PrivateKey) []byte {
-	der, err := x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, by)
+func sign(t testing.TB, c, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) []byte {
+	der, err := x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, signer)
 	check(t, err)
 	return der
 }
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,4 +1,4 @@
-// Package tlsfiles builds TLS configurations from files and follows changes of the files without a restart.
+// Package tlsfiles builds TLS configurations from files and reloads changed files without a restart.
 package tlsfiles
 
 import (
@@ -13,51 +13,50 @@
 	"time"
 )
 
-// checkInterval bounds how often the files are looked at; handshakes in between use what was read.
+// checkInterval bounds how often the files are checked; handshakes in between use the cached content.
 const checkInterval = time.Second
 
-// Files name the parts of one side's identity. CA verifies the other side; it may be empty for a server that accepts
-// clients without a certificate and for a client that trusts the system's authorities.
+// Files names the PEM files of an identity. CA verifies the peer; it may be empty for a server that accepts clients
+// without a certificate and for a client that trusts the system's authorities.
 type Files struct {
 	Certificate string
 	Key         string
 	CA          string
 }
 
-// Identity is a certificate with its key and the authorities that it trusts, as read from files. Its mutex guards
-// all fields but files, now and logger.
+// Identity is a certificate with its key and the trusted authorities, loaded from files. mu guards the fields below it.
 type Identity struct {
 	files  Files
 	now    func() time.Time
 	logger *slog.Logger
 
-	mu      sync.Mutex
-	checked time.Time
-	stamps  [3]stamp
-	current material
+	mu       sync.Mutex
+	checked  time.Time
+	versions [3]fileVersion
+	current  material
 }
 
-// stamp tells versions of a file apart.
-type stamp struct {
-	changed time.Time
-	size    int64
+// fileVersion identifies a version of a file.
+type fileVersion struct {
+	modified time.Time
+	size     int64
 }
 
-// material is what the files hold. It is never changed once it is in use.
+// material is the parsed content of the files. It is immutable.
 type material struct {
 	certificates []tls.Certificate
 	authorities  *x509.CertPool
 }
 
-// Load reads the files. Later changes of the files are picked up by the next handshake; a version that cannot be read
-// is logged and the one before stays in use.
+// Load reads the files. A later handshake picks up changes of the files. If the changed files cannot be read, a warning
+// is logged and the previous content stays in use.
 func Load(f Files, now func() time.Time, logger *slog.Logger) (*Identity, error) {
 	i := &Identity{files: f, now: now, logger: logger}
 	m, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	i.current, i.stamps, i.checked = m, f.stamps(), now()
+	i.current, i.versions, i.checked = m, f.versions(), now()
 	return i, nil
 }
 
@@ -79,22 +78,22 @@
 	}
 	m.authorities = x509.NewCertPool()
 	if !m.authorities.AppendCertsFromPEM(text) {
-		return m, fmt.Errorf("%s holds no certificate", f.CA)
+		return m, fmt.Errorf("%s contains no certificate", f.CA)
 	}
 	return m, nil
 }
 
-func (f Files) stamps() [3]stamp {
-	var out [3]stamp
+func (f Files) versions() [3]fileVersion {
+	var out [3]fileVersion
 	for i, name := range []string{f.Certificate, f.Key, f.CA} {
 		if info, err := os.Stat(name); err == nil {
-			out[i] = stamp{changed: info.ModTime(), size: info.Size()}
+			out[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return out
 }
 
-// material returns the latest readable version.
+// material returns the latest content that could be read.
 func (i *Identity) material() material {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -103,22 +102,22 @@
 		return i.current
 	}
 	i.checked = now
-	stamps := i.files.stamps()
-	if stamps == i.stamps {
+	versions := i.files.versions()
+	if versions == i.versions {
 		return i.current
 	}
 	m, err := i.files.read()
 	if err != nil {
-		// Certificate and key are replaced one after the other; the next check sees both.
+		// Certificate and key may be replaced one after the other; a later check then reads both.
 		i.logger.Warn("changed TLS files cannot be read; the previous ones stay in use", "error", err)
 		return i.current
 	}
-	i.current, i.stamps = m, stamps
+	i.current, i.versions = m, versions
 	i.logger.Info("TLS files reloaded", "certificate", i.files.Certificate)
 	return m
 }
 
-// Server returns the configuration of a listening side. With a CA, clients must show a certificate that it signed.
+// Server returns the configuration of a server. With a CA, clients must present a certificate that it has signed.
 func (i *Identity) Server(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -134,10 +133,10 @@
 	}
 }
 
-// Listen puts TLS on a listener.
+// Listen wraps a listener with TLS.
 func (i *Identity) Listen(l net.Listener) net.Listener { return tls.NewListener(l, i.Server()) }
 
-// Client returns the configuration of one connection to a server. An empty name stands for the host dialled.
+// Client returns the configuration of one connection to a server. An empty name selects the host dialled.
 func (i *Identity) Client(serverName string) *tls.Config {
 	m := i.material()
 	return &tls.Config{
@@ -145,7 +144,7 @@
 	}
 }
 
-// Dial opens a TLS connection with the files of this moment.
+// Dial opens a TLS connection with the current content of the files.
 func (i *Identity) Dial(ctx context.Context, address string) (net.Conn, error) {
 	d := tls.Dialer{Config: i.Client("")}
 	return d.DialContext(ctx, "tcp", address)
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -16,7 +16,7 @@
 	"github.com/cicadadale/cicadadale/internal/testcert"
 )
 
-// steppedClock moves on by more than the check interval at each reading, so that every handshake looks at the files.
+// steppedClock advances by more than the check interval at each call, so that every handshake checks the files.
 func steppedClock() func() time.Time {
 	now := time.Now()
 	return func() time.Time {
@@ -31,7 +31,7 @@
 	return i
 }
 
-// echo serves TLS connections that return what they receive.
+// echo starts a TLS echo server and returns its address.
 func echo(t *testing.T, i *Identity) string {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", i.Server())
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	return l.Addr().String()
 }
 
-// exchange returns the serial number of the server's certificate, or why the connection failed.
+// exchange sends a byte to an echo server and returns the serial number of the server's certificate.
 func exchange(i *Identity, address string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -70,7 +70,7 @@
 	return c.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.String(), nil
 }
 
-// Guards against a changed certificate that needs a restart, and against a half-written one that breaks service.
+// Guards against a changed certificate that needs a restart, and against a partly written one that breaks connections.
 func TestReloadWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
 	ca := testcert.NewAuthority(t, dir, "ca")
@@ -91,19 +91,19 @@
 	require.NotEqual(t, first, second)
 }
 
-// Guards against links to processes that hold no certificate, or one of a foreign authority.
-func TestForeignAndMissingCertificatesAreRefused(t *testing.T) {
-	dir, foreign := t.TempDir(), t.TempDir()
+// Guards against connections with peers that have no certificate or one of an untrusted authority.
+func TestUntrustedAndMissingCertificatesAreRejected(t *testing.T) {
+	dir, untrusted := t.TempDir(), t.TempDir()
 	ca := testcert.NewAuthority(t, dir, "ca")
 	address := echo(t, load(t, ca.Issue(t, dir, "server")))
-	other := testcert.NewAuthority(t, foreign, "ca").Issue(t, foreign, "client")
+	other := testcert.NewAuthority(t, untrusted, "ca").Issue(t, untrusted, "client")
 
 	_, err := exchange(load(t, other), address)
 	require.Error(t, err, "the client does not trust the server")
 	_, err = exchange(load(t, testcert.Files{Certificate: other.Certificate, Key: other.Key, CA: filepath.Join(dir, "ca.pem")}), address)
 	require.Error(t, err, "the server does not trust the client")
 	_, err = exchange(load(t, testcert.Files{CA: filepath.Join(dir, "ca.pem")}), address)
-	require.Error(t, err, "the client shows no certificate")
+	require.Error(t, err, "the client presents no certificate")
 	plain, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = plain.Close() }()
--- a/internal/wire/limits.go
+++ b/internal/wire/limits.go
@@ -8,18 +8,18 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// Limits of callers' fields.
+// Limits of fields in callers' requests.
 const (
-	// MaxWait bounds one waiting call; a longer wait is cut, and the caller asks again. It stays below the time for
-	// which a forwarded call may wait.
+	// MaxWait bounds the wait of one call; a longer wait is truncated, and the caller repeats the call. It must stay
+	// below the timeout of forwarded calls.
 	MaxWait = 25 * time.Second
-	// maxDeadline refuses values that come from a wrong unit and would overflow a duration.
+	// maxDeadline rejects values in a wrong unit, which could overflow a duration.
 	maxDeadline = 24 * time.Hour
 	maxName     = 256
 	maxKeyText  = 1024
 )
 
-// WaitFrom reads how long a call may wait.
+// WaitFrom decodes the wait of a call and limits it to MaxWait.
 func WaitFrom(ms int64) (time.Duration, error) {
 	if ms < 0 {
 		return 0, fault.With(fault.Invalid, "wait", "wait_ms of %d is negative", ms)
@@ -27,7 +27,7 @@
 	return millis(min(ms, MaxWait.Milliseconds())), nil
 }
 
-// DeadlineFrom reads the time allowed to a job.
+// DeadlineFrom decodes and validates the time allowed for a job.
 func DeadlineFrom(ms int64) (time.Duration, error) {
 	if ms < 0 || ms > maxDeadline.Milliseconds() {
 		return 0, fault.With(fault.Invalid, "deadline", "deadline_ms of %d is not from 0 to %d", ms, maxDeadline.Milliseconds())
@@ -35,13 +35,13 @@
 	return millis(ms), nil
 }
 
-// ChangeFrom reads a change of a job.
+// ChangeFrom decodes a change of a job.
 func ChangeFrom(r *api.ReconfigureRequest) (contract.Change, error) {
 	d, err := DeadlineFrom(r.GetDeadlineMs())
 	return contract.Change{Deadline: d, Priority: int(r.GetPriority())}, err
 }
 
-// checkName refuses names that would only burden queues, logs and metrics.
+// checkName rejects names so long that they would burden queues, logs and metrics.
 func checkName(field, name string) error {
 	if len(name) > maxName {
 		return fault.With(fault.Invalid, field, "%s of %d bytes exceeds %d", field, len(name), maxName)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire converts between the messages of callers and peers and the values of package contract.
+// Package wire converts between protobuf messages and the types of package contract.
 package wire
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// RefFrom reads a job reference.
+// RefFrom decodes and validates a job reference.
 func RefFrom(r *api.JobRef) (contract.JobRef, error) {
 	switch v := r.GetRef().(type) {
 	case *api.JobRef_JobId:
@@ -34,17 +34,17 @@
 	}
 }
 
-// KeyFrom reads a caller's key.
+// KeyFrom decodes a caller's key.
 func KeyFrom(k *api.CallerKey) contract.CallerKey {
 	return contract.CallerKey{Customer: k.GetCustomer(), Text: k.GetText(), CreatedUnixMS: k.GetCreatedUnixMs()}
 }
 
-// KeyTo writes a caller's key.
+// KeyTo encodes a caller's key.
 func KeyTo(k contract.CallerKey) *api.CallerKey {
 	return &api.CallerKey{Customer: k.Customer, Text: k.Text, CreatedUnixMs: k.CreatedUnixMS}
 }
 
-// RefTo writes a job reference.
+// RefTo encodes a job reference.
 func RefTo(r contract.JobRef) *api.JobRef {
 	if r.Key != nil {
 		return &api.JobRef{Ref: &api.JobRef_Key{Key: KeyTo(*r.Key)}}
@@ -52,7 +52,7 @@
 	return &api.JobRef{Ref: &api.JobRef_JobId{JobId: r.ID.String()}}
 }
 
-// SubmissionFrom reads a submission.
+// SubmissionFrom decodes and validates a submission.
 func SubmissionFrom(r *api.SubmitRequest) (contract.Submission, error) {
 	ref, err := RefFrom(r.GetJob())
 	if err != nil {
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// SubmissionTo writes a submission.
+// SubmissionTo encodes a submission with the time that the call waits for the answer.
 func SubmissionTo(s contract.Submission, wait time.Duration) *api.SubmitRequest {
 	r := &api.SubmitRequest{
 		Job: RefTo(s.Ref), Service: s.Service, Customer: s.Customer, Team: s.Team,
@@ -89,7 +89,7 @@
 	return r
 }
 
-// AnswerTo writes an answer.
+// AnswerTo encodes an answer.
 func AnswerTo(a contract.Answer) *api.Answer {
 	out := &api.Answer{
 		JobId: a.Job.String(), Verdict: api.Verdict(a.Verdict) + 1, Reason: a.Reason, Detail: a.Detail,
@@ -106,7 +106,7 @@
 	return out
 }
 
-// AnswerFrom reads an answer. Results and outcomes are placed by their index.
+// AnswerFrom decodes an answer. Results and outcomes are ordered by their index; an incomplete answer is an error.
 func AnswerFrom(a *api.Answer) (contract.Answer, error) {
 	id, err := contract.ParseJobID(a.GetJobId())
 	if err != nil && a.GetVerdict() != api.Verdict_VERDICT_REFUSED {
@@ -148,7 +148,7 @@
 	return out, nil
 }
 
-// ProgressTo writes a job's progress as seen at now.
+// ProgressTo encodes the progress of a job at time now.
 func ProgressTo(p contract.JobProgress, now time.Time) *api.JobStatus {
 	s := &api.JobStatus{
 		JobId: p.ID.String(), Verdict: api.Verdict(p.Verdict) + 1, Tasks: uint32(p.Tasks),
@@ -161,7 +161,7 @@
 	return s
 }
 
-// ProgressFrom reads a job's progress.
+// ProgressFrom decodes the progress of a job.
 func ProgressFrom(s *api.JobStatus, now time.Time) (contract.JobProgress, error) {
 	id, err := contract.ParseJobID(s.GetJobId())
 	if err != nil {
@@ -177,7 +177,7 @@
 	return p, nil
 }
 
-// RefusalOf turns an error that proves that nothing ran into an answer.
+// RefusalOf converts an error that proves that nothing ran into an answer with the verdict refused.
 func RefusalOf(id contract.JobID, err error) contract.Answer {
 	return contract.Answer{Job: id, Verdict: contract.VerdictRefused, Reason: fault.Reason(err), Detail: err.Error()}
 }
--- a/internal/wire/wire_fuzz_test.go
+++ b/internal/wire/wire_fuzz_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// Guards against a partial answer that passes for a complete one.
+// Guards against a partial answer that is treated as complete.
 func FuzzAnswer(f *testing.F) {
 	done := []*api.TaskOutcome{{Index: 0, Outcome: api.Outcome_OUTCOME_DONE}, {Index: 1, Outcome: api.Outcome_OUTCOME_DONE}}
 	both := []*api.TaskResult{{Index: 0, Payload: []byte("a")}, {Index: 1}}
@@ -81,7 +81,7 @@
 	})
 }
 
-// Guards against a status that makes a caller's tool panic.
+// Guards against a status that makes the caller panic.
 func FuzzProgress(f *testing.F) {
 	f.Add(mustMarshal(f, &api.JobStatus{JobId: seedID, Verdict: api.Verdict_VERDICT_PENDING, Tasks: 3, DeadlineMs: 1 << 62}))
 	f.Fuzz(func(t *testing.T, data []byte) {
