--- a/cmd/cicadadale/main.go
+++ b/cmd/cicadadale/main.go
@@ -1,4 +1,4 @@
-// Command cicadadale is the dispatcher: the entry daemon, the stand-ins and the tools of callers and operators.
+// Command cicadadale is the dispatcher: its daemons, the stand-ins, and the tools for callers and operators.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := command.Root().Run(context.Background(), os.Args); err != nil {
-		// There is nowhere left to report a failure to write to stderr.
+		// A failure to write to stderr cannot be reported.
 		_, _ = fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/schemas/schemas.go
+++ b/schemas/schemas.go
@@ -1,4 +1,4 @@
-// Package schemas holds the schema files of the deployments and the options that schema files use.
+// Package schemas embeds the schema files of the deployments and the options file that they import.
 package schemas
 
 import _ "embed"
