--- a/command/edge_test.go
+++ b/command/edge_test.go
@@ -30,7 +30,8 @@
 level = "LEVEL"
 `
 
-// Guards against a reload that applies part of an invalid file or does not report that a restart is needed.
+// Guards against a reload on SIGHUP that ends the process, applies part of an invalid file, or does not report that a
+// restart is needed.
 func TestReloadEdgeSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "edge.toml")
 	writeSettings := func(level, more string) {
