--- a/load/network.go
+++ b/load/network.go
@@ -73,7 +73,7 @@
 	n.down[to]--
 	n.mu.Unlock()
 	for _, r := range n.Select(func(_, t string) bool { return t == to }) {
-		r.Mend()
+		r.Restore()
 	}
 }
 
--- a/load/relay.go
+++ b/load/relay.go
@@ -63,7 +63,7 @@
 	r.target = address
 }
 
-// Cut ends all connections and refuses new ones until Mend. Cuts nest.
+// Cut ends all connections and refuses new ones until Restore. Cuts nest.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	r.cuts++
@@ -71,8 +71,8 @@
 	r.drop()
 }
 
-// Mend takes one cut back.
-func (r *Relay) Mend() {
+// Restore takes one cut back.
+func (r *Relay) Restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts--
--- a/load/soak_test.go
+++ b/load/soak_test.go
@@ -93,7 +93,7 @@
 	refused, err := net.Dial("tcp", r.Address())
 	require.NoError(t, err)
 	require.False(t, passes(refused))
-	r.Mend()
+	r.Restore()
 
 	c = opened(t, r)
 	r.LoseReplies()
--- a/load/soaknetwork.go
+++ b/load/soaknetwork.go
@@ -14,7 +14,7 @@
 	}
 	time.Sleep(f.span)
 	for _, r := range relays {
-		r.Mend()
+		r.Restore()
 	}
 	return len(relays) > 0
 }
--- a/soak/client.go
+++ b/soak/client.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// resendDelay is the time after which a client sends a job again whose connection has broken.
+	// resendDelay is how long a client waits before it resubmits a job whose connection has failed.
 	resendDelay = 1300 * time.Millisecond
-	// answerSlack is how long after its time limit an answer may come.
+	// answerSlack is how long after a job's time limit its answer may arrive.
 	answerSlack = 500 * time.Millisecond
 	clientPause = 20 * time.Millisecond
-	mostTasks   = 6
+	maxTasks    = 6
 )
 
 // attempt is one submission of a job.
 type attempt struct {
-	status int
-	state  string
-	err    error
-	daemon *daemon
-	sent   time.Time
-	took   time.Duration
+	status  int
+	state   string
+	err     error
+	daemon  *daemon
+	sent    time.Time
+	elapsed time.Duration
 }
 
-// job is a job with what its client saw of it.
+// job is a job with the attempts of its client.
 type job struct {
 	id       string
 	tasks    int
@@ -41,7 +41,7 @@
 	attempts []attempt
 }
 
-// refused reports whether all attempts were rejected as not run.
+// refused reports whether every attempt was refused, which states that the job has not run.
 func (j *job) refused() bool {
 	for _, a := range j.attempts {
 		if a.status != http.StatusTooManyRequests && a.status != http.StatusServiceUnavailable {
@@ -51,7 +51,7 @@
 	return len(j.attempts) > 0
 }
 
-// client is one client of a failure domain. It keeps its connections open.
+// client submits jobs to the daemons of one failure domain over persistent connections.
 type client struct {
 	s      *Soak
 	rng    *rand.Rand
@@ -63,29 +63,29 @@
 	return &client{s: s, rng: rng, domain: domain, http: &http.Client{Transport: &http.Transport{}}}
 }
 
-// run submits jobs one after the other until end.
+// run submits jobs sequentially until end.
 func (c *client) run(end time.Time) {
 	defer c.http.CloseIdleConnections()
 	for time.Now().Before(end) {
 		j := &job{
-			id: fmt.Sprintf("%016x", c.rng.Uint64()), tasks: 1 + c.rng.IntN(mostTasks),
+			id: fmt.Sprintf("%016x", c.rng.Uint64()), tasks: 1 + c.rng.IntN(maxTasks),
 			limit: time.Duration(1200+c.rng.IntN(3000)) * time.Millisecond,
 		}
 		c.submit(j)
-		c.s.keep(j)
+		c.s.recordJob(j)
 		time.Sleep(clientPause)
 	}
 }
 
-// submit sends a job until it has an answer, its time is up, or it has been refused.
+// submit retries a job until it is answered or refused, or until its time limit leaves no time for another attempt.
 func (c *client) submit(j *job) {
 	deadline := time.Now().Add(j.limit)
 	pick := c.rng.IntN(len(c.s.daemons))
 	for n := 0; ; n++ {
-		a := c.attempt(j, c.s.near(c.domain, pick+n), time.Until(deadline))
+		a := c.attempt(j, c.s.daemonOf(c.domain, pick+n), time.Until(deadline))
 		j.attempts = append(j.attempts, a)
-		again := a.err != nil || a.status == http.StatusBadGateway || a.status == http.StatusGatewayTimeout
-		if !again || time.Until(deadline) < resendDelay {
+		retry := a.err != nil || a.status == http.StatusBadGateway || a.status == http.StatusGatewayTimeout
+		if !retry || time.Until(deadline) < resendDelay {
 			return
 		}
 		time.Sleep(resendDelay)
@@ -105,7 +105,7 @@
 	req.Host = routeHost
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
 	resp, err := c.http.Do(req)
-	a.took = time.Since(a.sent)
+	a.elapsed = time.Since(a.sent)
 	if err != nil {
 		a.err = err
 		return a
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -16,17 +16,17 @@
 const (
 	loopback     = "127.0.0.1:0"
 	startTimeout = 10 * time.Second
-	lookInterval = 20 * time.Millisecond
-	// grace is the time that a daemon has between SIGTERM and its end.
+	dialInterval = 20 * time.Millisecond
+	// grace is the time that a daemon has to exit after SIGTERM.
 	grace = 6 * time.Second
 )
 
-// daemon is one edge VM: a child process and the relays between it and the other machines. mu guards the fields below it.
+// daemon is one edge VM: a child process and the relays between it and other machines. mu guards the fields below it.
 type daemon struct {
 	vm     string
 	domain string
 	front  string
-	// readiness and listen are the daemon's other addresses, peers is the relay through which members reach it.
+	// readiness and listen are the daemon's readiness and peer addresses; members reach it through the relay peers.
 	readiness string
 	listen    string
 	peers     *load.Relay
@@ -37,14 +37,15 @@
 
 	mu      sync.Mutex
 	process *child.Process
-	// busy is set while a fault stops, pauses or ends the process.
+	// busy is set while a fault stops, pauses or kills the process.
 	busy bool
-	// failed is set when the process has ended by itself.
+	// failed is set when the process has exited unexpectedly.
 	failed bool
-	ending bool
+	// stopping is set before the process is signalled to exit.
+	stopping bool
 }
 
-// newDaemon writes the settings of a daemon.
+// newDaemon opens a daemon's relays and writes its settings file.
 func newDaemon(
 	o Options, addresses *load.Addresses, dir, vm, domain, storeAddress string,
 ) (*daemon, error) {
@@ -53,7 +54,7 @@
 		log: filepath.Join(dir, vm+".log"),
 	}
 	for _, a := range []*string{&d.front, &d.readiness, &d.listen} {
-		// The daemon is started again at the same addresses.
+		// The addresses are fixed in the settings, because a restarted daemon has to listen on the same ones.
 		address, err := addresses.Free()
 		if err != nil {
 			return nil, err
@@ -74,36 +75,36 @@
 	return d, os.WriteFile(d.settings, []byte(text), 0o600)
 }
 
-// start runs the process and waits until it listens.
+// start starts the process and waits until it listens.
 func (d *daemon) start() error {
 	p, err := child.Start(d.log, d.program, "edge", "--settings", d.settings)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
-	d.process, d.ending = p, false
+	d.process, d.stopping = p, false
 	d.mu.Unlock()
-	go d.watch(p)
-	for begin := time.Now(); time.Since(begin) < startTimeout; time.Sleep(lookInterval) {
+	go d.watchExit(p)
+	for begin := time.Now(); time.Since(begin) < startTimeout; time.Sleep(dialInterval) {
 		conn, err := net.Dial("tcp", d.front)
 		if err == nil {
 			return conn.Close()
 		}
 	}
-	return fmt.Errorf("daemon %s does not listen, see %s", d.vm, d.log)
+	return fmt.Errorf("daemon %s did not start listening, see %s", d.vm, d.log)
 }
 
-// watch notes a process that ends without being told to.
-func (d *daemon) watch(p *child.Process) {
+// watchExit marks the daemon as failed when the process exits without having been signalled to.
+func (d *daemon) watchExit(p *child.Process) {
 	<-p.Exited()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.process == p && !d.ending {
+	if d.process == p && !d.stopping {
 		d.failed = true
 	}
 }
 
-// reserve claims the process for a fault.
+// reserve reserves the process for a fault. It reports false if another fault has reserved it.
 func (d *daemon) reserve() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,10 +127,10 @@
 	d.process.Signal(s)
 }
 
-// end sends a signal that ends the process and waits for its end. It reports whether that came in time.
-func (d *daemon) end(s syscall.Signal, timeout time.Duration) bool {
+// terminate signals the process to exit and reports whether it has exited before the timeout.
+func (d *daemon) terminate(s syscall.Signal, timeout time.Duration) bool {
 	d.mu.Lock()
-	d.ending = true
+	d.stopping = true
 	p := d.process
 	d.mu.Unlock()
 	p.Signal(s)
@@ -144,7 +145,7 @@
 }
 
 func (d *daemon) close() {
-	_ = d.end(syscall.SIGKILL, startTimeout)
+	_ = d.terminate(syscall.SIGKILL, startTimeout)
 	d.peers.Close()
 	d.store.Close()
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -11,8 +11,8 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// faults maps the name of each kind to what injects it. A kind returns when the fault has ended, with what it struck, or
-// nothing if it could not be injected.
+// faults maps each fault kind to the function that injects it. The function returns when the fault has ended, with the
+// name of its target, or an empty string if it could not be injected.
 var faults = map[string]func(s *Soak, rng *rand.Rand) string{
 	"kill":               (*Soak).kill,
 	"kill_all":           (*Soak).killAll,
@@ -36,10 +36,10 @@
 	"worker_rejects":     (*Soak).rejectStarts,
 }
 
-// calmTail is the time at the end of a run in which no fault starts.
-const calmTail = time.Second
+// faultFreeTail is the time at the end of a run during which no fault starts.
+const faultFreeTail = time.Second
 
-// inject starts faults drawn from the seed until end, and waits for all of them to end.
+// inject starts faults drawn from the seed until shortly before end and waits for all of them to end.
 func (s *Soak) inject(rng *rand.Rand, end time.Time) {
 	kinds := FaultKinds()
 	if len(s.o.Faults) > 0 {
@@ -47,54 +47,54 @@
 	}
 	var all sync.WaitGroup
 	defer all.Wait()
-	for time.Now().Before(end.Add(-calmTail)) {
+	for time.Now().Before(end.Add(-faultFreeTail)) {
 		time.Sleep(time.Duration(50+rng.IntN(500)) * time.Millisecond)
-		kind, own := kinds[rng.IntN(len(kinds))], rand.New(rand.NewPCG(rng.Uint64(), 0))
+		kind, faultRNG := kinds[rng.IntN(len(kinds))], rand.New(rand.NewPCG(rng.Uint64(), 0))
 		all.Go(func() {
 			begin := time.Now()
-			if struck := faults[kind](s, own); struck != "" {
-				s.injected(kind, struck, begin)
+			if target := faults[kind](s, faultRNG); target != "" {
+				s.recordFault(kind, target, begin)
 			}
 		})
 	}
 }
 
-func lasting(rng *rand.Rand) time.Duration {
+func faultDuration(rng *rand.Rand) time.Duration {
 	return time.Duration(200+rng.IntN(3000)) * time.Millisecond
 }
 
-func (s *Soak) anyDaemon(rng *rand.Rand) *daemon { return s.daemons[rng.IntN(len(s.daemons))] }
+func (s *Soak) randomDaemon(rng *rand.Rand) *daemon { return s.daemons[rng.IntN(len(s.daemons))] }
 
-func (s *Soak) anyWorker(rng *rand.Rand) *worker { return s.workers[rng.IntN(len(s.workers))] }
+func (s *Soak) randomWorker(rng *rand.Rand) *worker { return s.workers[rng.IntN(len(s.workers))] }
 
-// restart starts a daemon again after a pause.
-func (s *Soak) restart(d *daemon, pause time.Duration) {
-	time.Sleep(pause)
+// restart starts a daemon again after a delay.
+func (s *Soak) restart(d *daemon, delay time.Duration) {
+	time.Sleep(delay)
 	if err := d.start(); err != nil {
-		s.violate("daemon_starts", err.Error())
+		s.reportViolation("daemon_starts", err.Error())
 	}
 }
 
 func (s *Soak) kill(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	if !d.reserve() {
 		return ""
 	}
 	defer d.release()
-	d.end(syscall.SIGKILL, startTimeout)
-	s.restart(d, lasting(rng)/2)
+	d.terminate(syscall.SIGKILL, startTimeout)
+	s.restart(d, faultDuration(rng)/2)
 	return d.vm
 }
 
 func (s *Soak) killAll(rng *rand.Rand) string {
-	pause := lasting(rng) / 2
+	delay := faultDuration(rng) / 2
 	var all sync.WaitGroup
 	for _, d := range s.daemons {
 		if d.reserve() {
 			all.Go(func() {
 				defer d.release()
-				d.end(syscall.SIGKILL, startTimeout)
-				s.restart(d, pause)
+				d.terminate(syscall.SIGKILL, startTimeout)
+				s.restart(d, delay)
 			})
 		}
 	}
@@ -103,35 +103,35 @@
 }
 
 func (s *Soak) pause(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	if !d.reserve() {
 		return ""
 	}
 	defer d.release()
 	d.signal(syscall.SIGSTOP)
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	d.signal(syscall.SIGCONT)
 	return d.vm
 }
 
 func (s *Soak) plannedStop(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	if !d.reserve() {
 		return ""
 	}
 	defer d.release()
 	begin := time.Now()
-	if !d.end(syscall.SIGTERM, grace+time.Second) {
-		s.violate("stop_ends_in_time", fmt.Sprintf("%s still runs %v after SIGTERM", d.vm, time.Since(begin)))
-		d.end(syscall.SIGKILL, startTimeout)
+	if !d.terminate(syscall.SIGTERM, grace+time.Second) {
+		s.reportViolation("stop_ends_in_time", fmt.Sprintf("%s is still running %v after SIGTERM", d.vm, time.Since(begin)))
+		d.terminate(syscall.SIGKILL, startTimeout)
 	}
-	s.stopped(d, begin)
+	s.recordStop(d, begin)
 	s.restart(d, time.Duration(rng.IntN(1000))*time.Millisecond)
 	return d.vm
 }
 
 func (s *Soak) reload(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	if !d.reserve() {
 		return ""
 	}
@@ -140,107 +140,107 @@
 	return d.vm
 }
 
-// cut cuts a relay for a while.
-func cut(r *load.Relay, rng *rand.Rand) {
+// cutRelay closes a relay's connections and refuses new ones for a random time.
+func cutRelay(r *load.Relay, rng *rand.Rand) {
 	r.Cut()
-	time.Sleep(lasting(rng))
-	r.Mend()
+	time.Sleep(faultDuration(rng))
+	r.Restore()
 }
 
-func slow(r *load.Relay, rng *rand.Rand) {
+func slowRelay(r *load.Relay, rng *rand.Rand) {
 	r.SetDelay(time.Duration(20+rng.IntN(400)) * time.Millisecond)
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	r.SetDelay(0)
 }
 
 func (s *Soak) cutPeers(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
-	cut(d.peers, rng)
+	d := s.randomDaemon(rng)
+	cutRelay(d.peers, rng)
 	return d.vm
 }
 
 func (s *Soak) silencePeers(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	d.peers.Silence()
 	return d.vm
 }
 
 func (s *Soak) silencePeerRequests(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	d.peers.SilenceRequests()
 	return d.vm
 }
 
 func (s *Soak) slowPeers(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
-	slow(d.peers, rng)
+	d := s.randomDaemon(rng)
+	slowRelay(d.peers, rng)
 	return d.vm
 }
 
 func (s *Soak) cutStore(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
-	cut(d.store, rng)
+	d := s.randomDaemon(rng)
+	cutRelay(d.store, rng)
 	return d.vm
 }
 
 func (s *Soak) silenceStore(rng *rand.Rand) string {
-	d := s.anyDaemon(rng)
+	d := s.randomDaemon(rng)
 	d.store.Silence()
 	return d.vm
 }
 
 func (s *Soak) storeDown(rng *rand.Rand) string {
 	s.store.SetDown(true)
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	s.store.SetDown(false)
 	return "store"
 }
 
 func (s *Soak) storeLoses(rng *rand.Rand) string {
 	s.store.SetLosingAnswers(true)
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	s.store.SetLosingAnswers(false)
 	return "store"
 }
 
 func (s *Soak) cutWorker(rng *rand.Rand) string {
-	w := s.anyWorker(rng)
-	cut(w.relay, rng)
+	w := s.randomWorker(rng)
+	cutRelay(w.relay, rng)
 	return w.id
 }
 
 func (s *Soak) silenceWorker(rng *rand.Rand) string {
-	w := s.anyWorker(rng)
+	w := s.randomWorker(rng)
 	w.relay.Silence()
 	return w.id
 }
 
 func (s *Soak) slowWorker(rng *rand.Rand) string {
-	w := s.anyWorker(rng)
-	slow(w.relay, rng)
+	w := s.randomWorker(rng)
+	slowRelay(w.relay, rng)
 	return w.id
 }
 
 func (s *Soak) crashWorker(rng *rand.Rand) string {
-	w := s.anyWorker(rng)
+	w := s.randomWorker(rng)
 	if !w.crashing.TryLock() {
 		return ""
 	}
 	defer w.crashing.Unlock()
 	w.host.Crash()
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	w.host.Restart()
-	// The entry of the new life comes some time after its start.
-	time.Sleep(lasting(rng) / 2)
-	s.list(w)
+	// The server list is updated only some time after the new incarnation has started.
+	time.Sleep(faultDuration(rng) / 2)
+	s.putEntry(w)
 	return w.id
 }
 
-// onWorker applies a fault to a worker for a while.
+// onWorker applies a fault to a random worker for a random time.
 func (s *Soak) onWorker(rng *rand.Rand, set func(h *standin.RunHost, on bool)) string {
-	w := s.anyWorker(rng)
+	w := s.randomWorker(rng)
 	set(w.host, true)
-	time.Sleep(lasting(rng))
+	time.Sleep(faultDuration(rng))
 	set(w.host, false)
 	return w.id
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -25,38 +25,38 @@
 	service     = "bookings"
 	routeHost   = "soak.example"
 	routePrefix = "/jobs/"
-	// taskEstimateMS is the run time that clients declare.
+	// taskEstimateMS is the run time that clients declare for each task.
 	taskEstimateMS = 300
 	// maxLease is the longest lease that workers grant.
 	maxLease         = time.Second
 	clientsPerDomain = 12
-	// settleTime is the time after the start, and after the last fault, in which the daemons find each other.
+	// settleTime is how long the run waits, after the start and after the last fault, for the daemons to find each other.
 	settleTime = 4 * time.Second
-	// closingJobs is the number of jobs that each daemon has to serve after the faults.
-	closingJobs = 3
+	// finalJobs is the number of jobs that each daemon must serve after the faults.
+	finalJobs = 3
 )
 
-// capacity is the room of each worker, taskNeed what each task takes of it.
+// capacity is the capacity of each worker, taskNeed the resources that each task needs.
 var (
 	capacity = machine.Resources{CPUMillis: 64_000, MemoryMB: 131_072}
 	taskNeed = machine.Resources{CPUMillis: 27_000, MemoryMB: 64}
 )
 
-// Options select a run. Program is the binary whose edge daemons run.
+// Options configure a run. Program is the binary that the edge daemons run.
 type Options struct {
 	Program  string
 	Seed     uint64
 	Duration time.Duration
-	// Domains, Daemons and Workers are the numbers of failure domains and, for each of them, of daemons and workers.
+	// Domains is the number of failure domains; Daemons and Workers are the numbers of each per failure domain.
 	Domains, Daemons, Workers int
-	// Faults limits the kinds of faults; none means all.
+	// Faults limits the fault kinds; empty means all.
 	Faults []string
-	// Dir receives the settings and logs of the daemons; a temporary one is used if empty.
+	// Dir receives the settings and logs of the daemons; if empty, a temporary directory is used.
 	Dir string
 	Out io.Writer
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed            uint64         `json:"seed"`
 	TasksStarted    int            `json:"tasks_started"`
@@ -70,7 +70,7 @@
 	Dir             string         `json:"dir"`
 }
 
-// worker is a stand-in of a worker behind a relay. crashing is held while it is down.
+// worker is a worker stand-in behind a relay. crashing is held while it is down.
 type worker struct {
 	id       string
 	domain   string
@@ -80,39 +80,39 @@
 	crashing sync.Mutex
 }
 
-// planned is one planned stop.
-type planned struct {
+// stopRecord records one planned stop.
+type stopRecord struct {
 	daemon     *daemon
 	begin, end time.Time
 }
 
-// Soak is one run. mu guards the fields below it; the parts lock their own state.
+// Soak is one run. mu guards the fields below it; the other parts have their own locks.
 type Soak struct {
 	o       Options
 	dir     string
 	begin   time.Time
 	store   *standin.KeyedLog
-	runs    *runs
+	runs    *runRecorder
 	workers []*worker
 	daemons []*daemon
 
 	mu     sync.Mutex
 	jobs   []*job
-	stops  []planned
+	stops  []stopRecord
 	report Report
 }
 
-// FaultKinds returns the names of all kinds of faults.
+// FaultKinds returns the names of all fault kinds in sorted order.
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faults)) }
 
-// Run performs a run.
+// Run executes a soak run and returns its report.
 func Run(o Options) (Report, error) {
-	s := &Soak{o: o, begin: time.Now(), runs: newRuns(), report: Report{
+	s := &Soak{o: o, begin: time.Now(), runs: newRunRecorder(), report: Report{
 		Seed: o.Seed, FaultsInjected: make(map[string]int), InvariantChecks: make(map[string]int),
 	}}
 	for _, kind := range o.Faults {
 		if _, ok := faults[kind]; !ok {
-			return Report{}, fmt.Errorf("unknown kind of fault %q; known are %v", kind, FaultKinds())
+			return Report{}, fmt.Errorf("unknown fault kind %q; known kinds are %v", kind, FaultKinds())
 		}
 	}
 	defer s.close()
@@ -160,7 +160,7 @@
 			}
 		}
 	}
-	addresses := load.NewAddresses(ownLoopback())
+	addresses := load.NewAddresses(randomLoopback())
 	for domain := range s.o.Domains {
 		for n := range s.o.Daemons {
 			vm := fmt.Sprintf("edge-%d-%d", domain, n)
@@ -177,13 +177,14 @@
 	return nil
 }
 
-// ownLoopback returns a loopback address on which other runs on this machine, and outgoing connections, take no ports.
-func ownLoopback() string {
+// randomLoopback returns a random loopback address, on which other runs and outgoing connections of this machine are
+// unlikely to use any port.
+func randomLoopback() string {
 	part := func() int { return 1 + rand.IntN(250) }
 	return fmt.Sprintf("127.%d.%d.%d", part(), part(), part())
 }
 
-// publish writes the operator's desired state.
+// publish writes the operator's configuration to the store.
 func (s *Soak) publish() {
 	s.store.Put("keyed.op", "config", standin.DesiredDocument(1, contract.Route{
 		Name: "jobs", Host: routeHost, PathPrefix: routePrefix, Backend: service, Attempts: 2, TargetFactor: 1.6,
@@ -198,7 +199,7 @@
 	}
 	host := standin.NewRunHost(standin.RunHostOptions{
 		ID: id, Capacity: capacity, MaxLease: maxLease, Observer: s.runs,
-		Work: work, Need: func(contract.RunKey) machine.Resources { return taskNeed },
+		Work: plannedRun, Need: func(contract.RunKey) machine.Resources { return taskNeed },
 	})
 	relay, err := load.NewRelay(l.Addr().String())
 	if err != nil {
@@ -206,30 +207,30 @@
 	}
 	w := &worker{id: id, domain: domain, host: host, server: standin.ServeHost(l, id, host), relay: relay}
 	s.workers = append(s.workers, w)
-	s.list(w)
+	s.putEntry(w)
 	return nil
 }
 
-// list writes a worker's entry.
-func (s *Soak) list(w *worker) {
+// putEntry writes a worker's entry in the server list to the store.
+func (s *Soak) putEntry(w *worker) {
 	s.store.Put("keyed.servers", w.id, standin.EntryDocument(machine.Listing{
 		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, Born: w.host.Born(), Capacity: capacity,
 		Labels: []string{"a", "r1"},
 	}))
 }
 
-// work says how a run goes: most take less than a second, a few several.
-func work(key contract.RunKey) standin.RunOutcome {
+// plannedRun derives the outcome of a run from its key: most runs take less than a second, a few take several seconds.
+func plannedRun(key contract.RunKey) standin.RunOutcome {
 	h := xxhash.Sum64String(key.String())
-	takes := time.Duration(30+h%500) * time.Millisecond
+	duration := time.Duration(30+h%500) * time.Millisecond
 	if h%41 == 0 {
-		takes *= 6
+		duration *= 6
 	}
-	return standin.RunOutcome{Takes: takes, Fails: h%503 == 1, Stalls: h%307 == 2}
+	return standin.RunOutcome{Takes: duration, Fails: h%503 == 1, Stalls: h%307 == 2}
 }
 
-// near returns a daemon of a failure domain.
-func (s *Soak) near(domain string, pick int) *daemon {
+// daemonOf returns the daemon of a failure domain that pick selects.
+func (s *Soak) daemonOf(domain string, pick int) *daemon {
 	var all []*daemon
 	for _, d := range s.daemons {
 		if d.domain == domain {
@@ -239,41 +240,42 @@
 	return all[pick%len(all)]
 }
 
-func (s *Soak) keep(j *job) {
+func (s *Soak) recordJob(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.jobs = append(s.jobs, j)
 }
 
-func (s *Soak) stopped(d *daemon, begin time.Time) {
+func (s *Soak) recordStop(d *daemon, begin time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stops = append(s.stops, planned{d, begin, time.Now()})
+	s.stops = append(s.stops, stopRecord{d, begin, time.Now()})
 }
 
-// injected counts a fault and writes it to the file of faults.
-func (s *Soak) injected(kind, struck string, begin time.Time) {
+// recordFault counts a fault and appends it to the file faults.log.
+func (s *Soak) recordFault(kind, target string, begin time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.FaultsInjected[kind]++
 	f, err := os.OpenFile(filepath.Join(s.dir, "faults.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		_, _ = fmt.Fprintln(s.o.Out, "faults are not logged:", err)
+		_, _ = fmt.Fprintln(s.o.Out, "cannot log faults:", err)
 		return
 	}
 	defer func() { _ = f.Close() }()
-	_, _ = fmt.Fprintf(f, "%s %s %s until %s\n", begin.Format(time.RFC3339Nano), kind, struck, time.Now().Format(time.RFC3339Nano))
+	_, _ = fmt.Fprintf(f, "%s %s %s until %s\n", begin.Format(time.RFC3339Nano), kind, target,
+		time.Now().Format(time.RFC3339Nano))
 }
 
-// violate counts and prints a broken promise.
-func (s *Soak) violate(check, seen string) {
+// reportViolation counts and prints a violation of a check.
+func (s *Soak) reportViolation(check, details string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Violations++
-	_, _ = fmt.Fprintf(s.o.Out, "seed %d, %v: violation of %s: %s\n", s.o.Seed, time.Since(s.begin), check, seen)
+	_, _ = fmt.Fprintf(s.o.Out, "seed %d, %v: violation of %s: %s\n", s.o.Seed, time.Since(s.begin), check, details)
 }
 
-func (s *Soak) checked(check string, n int) {
+func (s *Soak) countChecks(check string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.InvariantChecks[check] += n
@@ -285,7 +287,7 @@
 	}
 	for _, w := range s.workers {
 		w.relay.Close()
-		// The run is over; what the servers still do has no effect.
+		// The run has ended; a server that fails to close does not affect its result.
 		_ = w.server.Close()
 	}
 	if s.store != nil {
@@ -293,7 +295,7 @@
 	}
 }
 
-// answered reports whether a client has got a final answer.
+// answered reports whether the last attempt received a final answer.
 func (j *job) answered() bool {
 	last := j.attempts[len(j.attempts)-1]
 	return last.err == nil && last.status == http.StatusOK
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a soak that starts nothing, injects nothing or checks nothing, and against daemons that break a promise as
-// separate processes.
+// Guards against a soak run that starts no tasks, injects no faults or performs no checks, and against edge daemons
+// that violate a guarantee when they run as separate processes.
 func TestShortSoakOfEdgeDaemonsIsClean(t *testing.T) {
 	program, err := os.Executable()
 	require.NoError(t, err)
@@ -43,14 +43,15 @@
 	require.Positive(t, r.Completed)
 	require.NotEmpty(t, r.FaultsInjected)
 	checks := []string{
-		soak.CheckRunsOnce, soak.CheckRefusalTrue, soak.CheckAnswerWhole, soak.CheckProcessLives, soak.CheckServedAfter,
+		soak.CheckRunsOnce, soak.CheckRefusedNotRun, soak.CheckCompletedDone, soak.CheckNoUnexpectedExit,
+		soak.CheckServesAfterFaults,
 	}
 	for _, c := range checks {
 		require.Positive(t, r.InvariantChecks[c], c)
 	}
 }
 
-// Guards against a misspelt kind of fault that leaves a run without faults.
+// Guards against a misspelt fault kind that leaves a run without faults.
 func TestUnknownFaultIsAnError(t *testing.T) {
 	_, err := soak.Run(soak.Options{Faults: []string{"kil"}})
 	require.ErrorContains(t, err, "kil")
--- a/soak/watch.go
+++ b/soak/watch.go
@@ -8,8 +8,8 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// span is one run of a task as its worker saw it.
-type span struct {
+// taskRun is one run of a task as recorded by its worker.
+type taskRun struct {
 	key    contract.RunKey
 	worker string
 	begin  time.Time
@@ -18,24 +18,24 @@
 	open   bool
 }
 
-// runs records all runs on all workers. mu guards the map.
-type runs struct {
+// runRecorder records the runs on all workers. mu guards the map.
+type runRecorder struct {
 	mu    sync.Mutex
-	tasks map[contract.RunKey][]*span
+	tasks map[contract.RunKey][]*taskRun
 }
 
-func newRuns() *runs { return &runs{tasks: make(map[contract.RunKey][]*span)} }
+func newRunRecorder() *runRecorder { return &runRecorder{tasks: make(map[contract.RunKey][]*taskRun)} }
 
 // Started implements standin.RunObserver.
-func (r *runs) Started(worker string, key contract.RunKey) {
+func (r *runRecorder) Started(worker string, key contract.RunKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	task := key.Task()
-	r.tasks[task] = append(r.tasks[task], &span{key: key, worker: worker, begin: time.Now(), open: true})
+	r.tasks[task] = append(r.tasks[task], &taskRun{key: key, worker: worker, begin: time.Now(), open: true})
 }
 
 // Ended implements standin.RunObserver.
-func (r *runs) Ended(worker string, key contract.RunKey, state contract.RunState, at time.Time) {
+func (r *runRecorder) Ended(worker string, key contract.RunKey, state contract.RunState, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.tasks[key.Task()] {
@@ -46,7 +46,7 @@
 }
 
 // count returns the number of runs.
-func (r *runs) count() int {
+func (r *runRecorder) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -56,8 +56,8 @@
 	return n
 }
 
-// overlapping returns the pairs of runs of one task that went on at the same time.
-func (r *runs) overlapping() []string {
+// overlapping describes the pairs of runs of the same task that overlapped in time.
+func (r *runRecorder) overlapping() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []string
@@ -65,8 +65,8 @@
 		for i, a := range spans {
 			for _, b := range spans[i+1:] {
 				if a.open || b.begin.Before(a.end) {
-					found = append(found, fmt.Sprintf("%s on %s from %v to %v (open %v) and %s on %s from %v", a.key, a.worker, a.begin,
-						a.end, a.open, b.key, b.worker, b.begin))
+					found = append(found, fmt.Sprintf("%s on %s from %v to %v (open %v) and %s on %s from %v",
+						a.key, a.worker, a.begin, a.end, a.open, b.key, b.worker, b.begin))
 				}
 			}
 		}
@@ -75,7 +75,7 @@
 }
 
 // started reports whether any task of a job has been started.
-func (r *runs) started(job string, tasks int) bool {
+func (r *runRecorder) started(job string, tasks int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range tasks {
@@ -86,8 +86,8 @@
 	return false
 }
 
-// done reports whether each task of a job has a run that has succeeded.
-func (r *runs) done(job string, tasks int) bool {
+// done reports whether each task of a job has a successful run.
+func (r *runRecorder) done(job string, tasks int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range tasks {
