--- a/load/caller.go
+++ b/load/caller.go
@@ -10,17 +10,17 @@
 	"github.com/cicadadale/cicadadale/rpc"
 )
 
-// Callers submits planned jobs to entry VMs, one client for each. The clients lock their own state.
+// Callers submits planned jobs to entry VMs, with one client for each VM. The clients have their own locks.
 type Callers struct {
 	clients []*rpc.Client
-	// patience is added to a job's deadline and run time before its answer counts as missing.
-	patience time.Duration
-	slowest  float64
+	// slack is added to a job's deadline and run time before its answer counts as missing.
+	slack   time.Duration
+	slowest float64
 }
 
-// NewCallers connects to the entry VMs.
-func NewCallers(addresses []string, slowest float64, patience time.Duration) (*Callers, error) {
-	c := &Callers{patience: patience, slowest: slowest}
+// NewCallers creates a client for each entry VM.
+func NewCallers(addresses []string, slowest float64, slack time.Duration) (*Callers, error) {
+	c := &Callers{slack: slack, slowest: slowest}
 	for _, a := range addresses {
 		client, err := rpc.NewClient([]string{a}, nil)
 		if err != nil {
@@ -32,14 +32,14 @@
 	return c, nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Callers) Close() {
 	for _, client := range c.clients {
 		client.Close()
 	}
 }
 
-// RoundTrip measures the median round trip of a call that needs no other process.
+// RoundTrip measures the median round trip of a call that an entry VM answers without another process.
 func (c *Callers) RoundTrip(ctx context.Context) (time.Duration, error) {
 	var trips []float64
 	for range roundTrips {
@@ -49,7 +49,7 @@
 				return 0, err
 			}
 			begin := time.Now()
-			// The job was never submitted: the entry VM answers at once that it does not know it.
+			// The job was never submitted, so the entry VM answers at once that it is unknown.
 			_, _ = client.Status(ctx, contract.JobRef{ID: id})
 			trips = append(trips, time.Since(begin).Seconds())
 		}
@@ -59,12 +59,12 @@
 
 const roundTrips = 50
 
-// Run submits a job, with its resubmissions, and returns when all answers have arrived or count as missing.
+// Run submits a job and its resubmissions. It returns when all answers have arrived or count as missing.
 func (c *Callers) Run(ctx context.Context, r *JobRecord) {
-	limit := c.patience + r.Plan.Deadline
+	limit := c.slack + r.Plan.Deadline
 	for _, t := range r.Plan.Tasks {
 		limit += time.Duration(float64(t.Payload.Nominal) / c.slowest / float64(len(r.Plan.Tasks)))
-		limit = max(limit, c.patience+r.Plan.Deadline+time.Duration(float64(t.Payload.Nominal)/c.slowest))
+		limit = max(limit, c.slack+r.Plan.Deadline+time.Duration(float64(t.Payload.Nominal)/c.slowest))
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/load/check.go
+++ b/load/check.go
@@ -10,51 +10,51 @@
 
 // Names of the checks, as reported.
 const (
-	CheckStartedOnce     = "task_started_once"
-	CheckAnswerWhole     = "answer_complete_or_without_results"
-	CheckResultsRight    = "results_right"
-	CheckNotRunTrue      = "not_run_true"
-	CheckAnswerArrives   = "answer_within_bound"
-	CheckKeyOnce         = "key_names_one_job"
-	CheckNoLateStart     = "no_start_after_answer"
-	CheckAnswersAgree    = "answers_agree"
-	CheckLeavingNoStarts = "leaving_worker_gets_no_start"
-	CheckStopCutsNothing = "planned_stop_cuts_no_request"
-	CheckProgram         = "program_invariants"
-	CheckDaemonRuns      = "daemon_runs"
+	CheckStartedOnce      = "task_started_once"
+	CheckAnswerComplete   = "answer_complete_or_without_results"
+	CheckResultsCorrect   = "results_right"
+	CheckNotRunAccurate   = "not_run_true"
+	CheckAnswerArrives    = "answer_within_bound"
+	CheckKeyNamesOneJob   = "key_names_one_job"
+	CheckNoLateStart      = "no_start_after_answer"
+	CheckAnswersAgree     = "answers_agree"
+	CheckNoStartOnLeaving = "leaving_worker_gets_no_start"
+	CheckStopCutsNothing  = "planned_stop_cuts_no_request"
+	CheckDaemonInvariants = "program_invariants"
+	CheckDaemonRuns       = "daemon_runs"
 
 	CheckConfigNeverReverts = "config_never_reverts"
 	CheckConfigInEffect     = "config_in_effect"
 )
 
-// startGrace is how long after a job's final answer a start that was under way may still arrive. A worker rejects starts
-// whose start-by time, 1 s after the decision, has passed.
+// startGrace is how long after a job's final answer a start in progress may still arrive. A worker rejects starts whose
+// start-by time, 1 s after the decision, has passed.
 const startGrace = 2 * time.Second
 
-// Violation is a broken invariant with what is needed to follow it.
+// Violation is a violated invariant with the details needed to investigate it.
 type Violation struct {
-	Check string
-	Job   string
-	Task  string
-	At    time.Time
-	Seen  string
+	Check    string
+	Job      string
+	Task     string
+	At       time.Time
+	Observed string
 }
 
-// String returns the line printed for a violation.
+// String formats the line that is printed for a violation.
 func (v Violation) String() string {
 	return fmt.Sprintf("violation of %s at %s: job %s task %s: %s", v.Check, v.At.Format(time.RFC3339Nano), v.Job,
-		v.Task, v.Seen)
+		v.Task, v.Observed)
 }
 
-// Checker compares the answers of a job with what the workers recorded.
+// Checker compares the answers to a job with the starts that the workers recorded.
 type Checker struct {
 	Ledger *StartLedger
-	// Faultless says that no process fails, so that all answers to a job have to agree.
+	// Faultless is set if no faults are injected, so that all answers to a job must agree.
 	Faultless bool
 }
 
-// Check returns the violations in a job's answers. It is called when all attempts have ended and no start of the job
-// can be under way.
+// Check returns the violations in a job's answers. Call it only when all attempts have ended and no start of the job
+// can be in progress.
 func (c Checker) Check(r *JobRecord) []Violation {
 	attempts := r.Attempts()
 	var out []Violation
@@ -64,43 +64,43 @@
 		}
 		switch a.Answer.Verdict {
 		case contract.VerdictComplete:
-			out = append(out, c.complete(r, a)...)
+			out = append(out, c.checkComplete(r, a)...)
 		case contract.VerdictFailed:
-			out = append(out, c.failed(r, a)...)
+			out = append(out, c.checkFailed(r, a)...)
 		case contract.VerdictRefused:
-			out = append(out, c.refused(r, attempts, i)...)
+			out = append(out, c.checkRefused(r, attempts, i)...)
 		}
 		if !a.Answer.Consistent() {
-			out = append(out, r.violation(CheckAnswerWhole, -1, a, "answer holds results without being complete"))
+			out = append(out, r.violation(CheckAnswerComplete, -1, a, "answer holds results without being complete"))
 		}
 	}
-	out = append(out, c.lateStarts(r)...)
+	out = append(out, c.checkLateStarts(r)...)
 	if c.Faultless {
-		out = append(out, agree(r, attempts)...)
+		out = append(out, checkVerdictsAgree(r, attempts)...)
 	}
 	if r.Key != nil {
-		out = append(out, oneJob(r, attempts)...)
+		out = append(out, checkKey(r, attempts)...)
 	}
 	return out
 }
 
-// oneJob checks that complete answers to a caller's key belong to the same job.
-func oneJob(r *JobRecord, attempts []Attempt) []Violation {
+// checkKey checks that complete answers to a caller's key belong to the same job.
+func checkKey(r *JobRecord, attempts []Attempt) []Violation {
 	var first Attempt
 	for _, a := range attempts {
 		if !a.Final() || a.Answer.Verdict != contract.VerdictComplete {
 			continue
 		}
 		if first.Final() && a.Answer.Job != first.Answer.Job {
-			return []Violation{r.violation(CheckKeyOnce, -1, a, fmt.Sprintf("key %s: answers of jobs %s and %s", r.Key, a.Answer.Job,
-				first.Answer.Job))}
+			return []Violation{r.violation(CheckKeyNamesOneJob, -1, a, fmt.Sprintf("key %s: answers of jobs %s and %s",
+				r.Key, a.Answer.Job, first.Answer.Job))}
 		}
 		first = a
 	}
 	return nil
 }
 
-func (r *JobRecord) violation(check string, task int, a Attempt, seen string) Violation {
+func (r *JobRecord) violation(check string, task int, a Attempt, observed string) Violation {
 	v := Violation{Check: check, Job: r.ID.String(), Task: "-", At: a.Received}
 	if r.Key != nil {
 		v.Job = fmt.Sprintf("%s of key %s", a.Answer.Job, r.Key)
@@ -108,53 +108,56 @@
 	if task >= 0 {
 		v.Task = r.TaskID(task)
 	}
-	v.Seen = fmt.Sprintf("%s (entry VM %s, answer %s %q, sent %s)", seen, a.Entry, a.Answer.Verdict, a.Answer.Reason,
-		a.Sent.Format(time.RFC3339Nano))
+	v.Observed = fmt.Sprintf("%s (entry VM %s, answer %s %q, sent %s)", observed, a.Entry, a.Answer.Verdict,
+		a.Answer.Reason, a.Sent.Format(time.RFC3339Nano))
 	return v
 }
 
-func (c Checker) complete(r *JobRecord, a Attempt) []Violation {
+func (c Checker) checkComplete(r *JobRecord, a Attempt) []Violation {
 	if len(a.Answer.Results) != len(r.Plan.Tasks) || len(a.Answer.Reports) != len(r.Plan.Tasks) {
-		return []Violation{r.violation(CheckAnswerWhole, -1, a, fmt.Sprintf("complete with %d results and %d reports of %d tasks",
-			len(a.Answer.Results), len(a.Answer.Reports), len(r.Plan.Tasks)))}
+		return []Violation{r.violation(CheckAnswerComplete, -1, a, fmt.Sprintf(
+			"complete with %d results and %d reports of %d tasks", len(a.Answer.Results), len(a.Answer.Reports),
+			len(r.Plan.Tasks)))}
 	}
 	var out []Violation
 	if r.Key == nil && a.Answer.Job != r.ID {
-		out = append(out, r.violation(CheckResultsRight, -1, a, "answer belongs to job "+a.Answer.Job.String()))
+		out = append(out, r.violation(CheckResultsCorrect, -1, a, "answer belongs to job "+a.Answer.Job.String()))
 	}
 	for i, t := range r.Plan.Tasks {
 		if want := ExpectedResult(t.Payload.Identity); !bytes.Equal(a.Answer.Results[i], want) {
-			out = append(out, r.violation(CheckResultsRight, i, a, fmt.Sprintf("result %q instead of %q", a.Answer.Results[i], want)))
+			out = append(out, r.violation(CheckResultsCorrect, i, a, fmt.Sprintf("result %q instead of %q",
+				a.Answer.Results[i], want)))
 		}
 		if c.Ledger.Identity(t.Payload.Identity).Count == 0 {
-			out = append(out, r.violation(CheckResultsRight, i, a, "result of a task that no worker started"))
+			out = append(out, r.violation(CheckResultsCorrect, i, a, "result of a task that no worker started"))
 		}
 	}
 	return out
 }
 
-func (c Checker) failed(r *JobRecord, a Attempt) []Violation {
-	// A process that knows only the job's id reports no tasks.
+func (c Checker) checkFailed(r *JobRecord, a Attempt) []Violation {
+	// A process that knows only the job's id answers without task reports.
 	if n := len(a.Answer.Reports); n != 0 && n != len(r.Plan.Tasks) {
-		return []Violation{r.violation(CheckAnswerWhole, -1, a, fmt.Sprintf("%d reports of %d tasks", n, len(r.Plan.Tasks)))}
+		return []Violation{r.violation(CheckAnswerComplete, -1, a, fmt.Sprintf("%d reports of %d tasks", n,
+			len(r.Plan.Tasks)))}
 	}
 	var out []Violation
 	for i, p := range a.Answer.Reports {
 		st := c.Ledger.Identity(r.Plan.Tasks[i].Payload.Identity)
 		if p.Outcome == contract.OutcomeNotRun && st.Count > 0 {
-			out = append(out, r.violation(CheckNotRunTrue, i, a, fmt.Sprintf("reported not run, started %d times, first at %s on %s",
-				st.Count, st.First.Format(time.RFC3339Nano), st.Worker)))
+			out = append(out, r.violation(CheckNotRunAccurate, i, a, fmt.Sprintf(
+				"reported not run, started %d times, first at %s on %s", st.Count, st.First.Format(time.RFC3339Nano), st.Worker)))
 		}
 		if p.Outcome == contract.OutcomeDone && st.Count == 0 {
-			out = append(out, r.violation(CheckResultsRight, i, a, "reported done, never started"))
+			out = append(out, r.violation(CheckResultsCorrect, i, a, "reported done, never started"))
 		}
 	}
 	return out
 }
 
-// refused checks that a refusal is accurate. A start before the refused submission was sent makes it false, and so
-// does any later start unless another submission, which ended after the refused one was sent, was not refused.
-func (c Checker) refused(r *JobRecord, attempts []Attempt, n int) []Violation {
+// checkRefused checks that a refusal is accurate. It is false if a task started before the refused submission was sent.
+// A later start makes it false unless another submission, which ended after the refused one was sent, was not refused.
+func (c Checker) checkRefused(r *JobRecord, attempts []Attempt, n int) []Violation {
 	a := attempts[n]
 	excused := false
 	for i, o := range attempts {
@@ -166,16 +169,16 @@
 		if st.Count == 0 || excused && st.First.After(a.Sent) {
 			continue
 		}
-		out = append(out, r.violation(CheckNotRunTrue, i, a, fmt.Sprintf("refused, but started %d times, first at %s on %s",
-			st.Count, st.First.Format(time.RFC3339Nano), st.Worker)))
+		out = append(out, r.violation(CheckNotRunAccurate, i, a, fmt.Sprintf(
+			"refused, but started %d times, first at %s on %s", st.Count, st.First.Format(time.RFC3339Nano), st.Worker)))
 	}
 	return out
 }
 
-// lateStarts checks that no task starts once the job has its final answer: a home that was paused or cut off must not go
-// on with a job that others have answered as lost.
-func (c Checker) lateStarts(r *JobRecord) []Violation {
-	first, ok := r.First()
+// checkLateStarts checks that no task starts after the final answer to its job: a home that was paused or partitioned
+// must not continue a job that other entry VMs have answered as lost.
+func (c Checker) checkLateStarts(r *JobRecord) []Violation {
+	first, ok := r.FirstFinal()
 	if !ok || first.refused() {
 		return nil
 	}
@@ -190,8 +193,8 @@
 	return out
 }
 
-// agree checks that all answers but refusals have the same verdict.
-func agree(r *JobRecord, attempts []Attempt) []Violation {
+// checkVerdictsAgree checks that all answers other than refusals have the same verdict.
+func checkVerdictsAgree(r *JobRecord, attempts []Attempt) []Violation {
 	verdict := contract.VerdictPending
 	for _, a := range attempts {
 		if !a.Final() || a.refused() {
--- a/load/demand.go
+++ b/load/demand.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// cycle returns the length of lead, ramp up, hold and ramp down.
+// cycle returns the length of one cycle: lead, ramp up, hold and ramp down.
 func (d WorkloadDemand) cycle() time.Duration {
 	return time.Duration(d.Lead + d.Ramp + d.Hold + d.Ramp)
 }
 
-// Level returns the demand at a time, as a share of the capacity.
+// Level returns the demand at time t of the run, as a share of the capacity.
 func (d WorkloadDemand) Level(t time.Duration) float64 {
-	if d.Crest == 0 {
+	if d.Peak == 0 {
 		return d.Base
 	}
 	at := t % d.cycle()
@@ -19,23 +19,23 @@
 	case up < 0:
 		return d.Base
 	case up < ramp:
-		return d.Base + (d.Crest-d.Base)*float64(up)/float64(ramp)
+		return d.Base + (d.Peak-d.Base)*float64(up)/float64(ramp)
 	case down < 0:
-		return d.Crest
+		return d.Peak
 	default:
-		return d.Crest - (d.Crest-d.Base)*float64(down)/float64(ramp)
+		return d.Peak - (d.Peak-d.Base)*float64(down)/float64(ramp)
 	}
 }
 
-// Span is a part of the run, in time since its start.
+// Span is a part of a run, in time since its start.
 type Span struct{ From, To time.Duration }
 
 // Contains reports whether t lies in the span.
 func (s Span) Contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// Crests returns the parts of the run in which the demand is at its crest; without a crest the whole run counts.
-func (d WorkloadDemand) Crests(run time.Duration) []Span {
-	if d.Crest == 0 {
+// Peaks returns the parts of the run in which the demand is at its peak, or the whole run if the workload has no peak.
+func (d WorkloadDemand) Peaks(run time.Duration) []Span {
+	if d.Peak == 0 {
 		return []Span{{To: run}}
 	}
 	var out []Span
--- a/load/demo.go
+++ b/load/demo.go
@@ -27,7 +27,7 @@
 	demoTasks    = 12
 )
 
-// DeploymentServices reads the schema files of both deployments.
+// DeploymentServices reads the schema files of both example deployments, glashaus and wakala.
 func DeploymentServices() []*backend.Service {
 	src := schema.Source{"glashaus.proto": schemas.Glashaus, "wakala.proto": schemas.Wakala}
 	services, findings := schema.Load(src, "glashaus.proto", "wakala.proto")
@@ -37,13 +37,13 @@
 	return services
 }
 
-// demoResult is the outcome of one job of the demo.
+// demoResult is the result of one job of the demo.
 type demoResult struct {
 	line string
 	ok   bool
 }
 
-// Demo runs jobs of both deployments on two failure domains and checks every answer.
+// Demo runs jobs of both example deployments on two failure domains and checks every answer.
 func Demo(ctx context.Context, w io.Writer, jobs int, logger *slog.Logger) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// demoJob submits one job to one entry VM and fetches the answer again from another.
+// demoJob submits one job to an entry VM and fetches its answer again from another.
 func demoJob(ctx context.Context, d *Deployment, n int) demoResult {
 	fail := func(err error) demoResult { return demoResult{line: fmt.Sprintf("job %d: %v", n, err)} }
 	addresses := d.Callers()
@@ -121,7 +121,7 @@
 		answer.Job, answer.Verdict, len(answer.Reports), took.Seconds()*1000, ResponseRatio(took, answer), ok)}
 }
 
-// sameAnswer reports whether a resubmission got the complete answer of the first submission.
+// sameAnswer reports whether a resubmission received the same complete answer as the first submission.
 func sameAnswer(a, b contract.Answer) bool {
 	if !a.Consistent() || !b.Consistent() || b.Verdict != contract.VerdictComplete || len(a.Results) != len(b.Results) {
 		return false
@@ -146,7 +146,7 @@
 	return float64(took) / float64(longest+callerRoundTrip)
 }
 
-// demoWork is a job of one of the deployments, built with the generated stubs.
+// demoWork is a job of one of the example deployments, built with the generated stubs.
 type demoWork struct {
 	submit     func(context.Context) (contract.Answer, error)
 	submission func() contract.Submission
@@ -197,7 +197,7 @@
 	return w, nil
 }
 
-// expect returns a check that a task's result is the wanted one.
+// expect returns a check that compares a task's result with the expected one.
 func expect[R proto.Message](t rpc.Task[R], want R) func() error {
 	return func() error {
 		got, err := t.Result()
--- a/load/demo_test.go
+++ b/load/demo_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the whole path: two failure domains, forwarding between them, and answers checked twice.
+// Guards the whole path: jobs on two failure domains, forwarding between the domains, and the same answer from a second
+// entry VM.
 func TestDemo(t *testing.T) {
 	require.NoError(t, Demo(context.Background(), io.Discard, 12, slog.New(slog.DiscardHandler)))
 }
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -21,30 +21,30 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// readyTimeout bounds the time until all entry VMs know each other.
+	// readyTimeout bounds the time until all entry VMs have discovered each other.
 	readyTimeout = 10 * time.Second
 )
 
-// DeploymentOptions describe a deployment in one process.
+// DeploymentOptions configure a deployment in one process.
 type DeploymentOptions struct {
 	Domains  int
 	EntryVMs int // per failure domain
 	Workers  int // per failure domain and service
 	Slots    int
-	// Speed returns the speed of the n-th worker; nil makes all workers average.
+	// Speed returns the speed of the n-th worker, counted from 1; nil gives all workers speed 1.
 	Speed    func(n int) float64
 	Services func() []*backend.Service
 	Work     standin.Work
 	Started  func(task string)
-	// Observer and Added may be nil. Added is told of a worker before it serves.
-	Observer standin.Observer
-	Added    func(machine.WorkerID)
-	// Policy is the placement policy of the entry VMs, empty for the default.
+	// Observer and OnWorkerAdded may be nil. OnWorkerAdded is called before a worker serves.
+	Observer      standin.Observer
+	OnWorkerAdded func(machine.WorkerID)
+	// Policy is the placement policy of the entry VMs; empty selects the default.
 	Policy string
 	Logger *slog.Logger
 }
 
-// Deployment is a set of entry daemons, workers and the platform stand-in.
+// Deployment is a set of entry daemons and workers with the platform stand-in.
 type Deployment struct {
 	Platform *standin.Platform
 	Workers  []*standin.Worker
@@ -60,7 +60,7 @@
 	Metrics metrics.Registry
 }
 
-// StartDeployment starts all parts and waits until the entry VMs know each other.
+// StartDeployment starts all parts and waits until the entry VMs have discovered each other.
 func StartDeployment(o DeploymentOptions) (*Deployment, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -106,8 +106,8 @@
 		speed = o.Speed(n)
 	}
 	id := machine.WorkerID(fmt.Sprintf("worker-%d-%d", domain, n))
-	if o.Added != nil {
-		o.Added(id)
+	if o.OnWorkerAdded != nil {
+		o.OnWorkerAdded(id)
 	}
 	w := standin.NewWorker(l, standin.WorkerOptions{
 		ID: id, Slots: o.Slots, Speed: speed, Work: o.Work, Started: o.Started, Observer: o.Observer,
@@ -154,7 +154,7 @@
 	return e.Daemon.Start()
 }
 
-// waitReady waits until each entry VM sees all members of its failure domain.
+// waitReady waits until each entry VM sees all members of its failure domain as live.
 func (d *Deployment) waitReady(members int) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, e := range d.Entries {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Callers returns the addresses of all entry VMs.
+// Callers returns the caller addresses of all entry VMs.
 func (d *Deployment) Callers() []string {
 	var out []string
 	for _, e := range d.Entries {
@@ -196,7 +196,7 @@
 	}
 	wg.Wait()
 	for _, w := range d.Workers {
-		// The run is over; a server that fails to stop ends with the process.
+		// The run has ended; a server that fails to stop ends with the process.
 		wg.Go(func() { _ = w.Close() })
 	}
 	wg.Go(func() { _ = d.Platform.Close() })
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,3 +1,3 @@
-// Package load runs entry daemons, workers and the platform stand-in in one process, for the demo, load experiments
-// and randomised runs.
+// Package load runs entry daemons, workers and the platform stand-in for the demo, load runs and randomised
+// fault-injection runs.
 package load
--- a/load/ledger.go
+++ b/load/ledger.go
@@ -12,17 +12,17 @@
 
 const ledgerShards = 16
 
-// TaskStart is what the workers recorded of a task id or an identity.
+// TaskStart summarises the starts that workers recorded for a task id or a task identity.
 type TaskStart struct {
 	Count  int
 	Worker machine.WorkerID
 	First  time.Time
-	// Task is the id under which the last start arrived.
+	// Task is the task id of the last start.
 	Task string
 }
 
-// StartLedger counts the starts at all workers, by the dispatcher's task id and by the caller's identity of the task.
-// Its state lies in shards, each under its own lock.
+// StartLedger counts the starts at all workers by the dispatcher's task id and by the identity that the caller gave the
+// task. Its state is sharded; each shard has its own lock.
 type StartLedger struct {
 	tasks, identities [ledgerShards]ledgerShard
 }
@@ -63,32 +63,32 @@
 	return s.starts[key]
 }
 
-// Record counts a start and returns the counts of its task id and of its identity.
-func (l *StartLedger) Record(st standin.Start, identity string) (task, same TaskStart) {
-	task = l.tasks[shardIndex(st.Task)].add(st.Task, st)
+// Record counts a start and returns the counts for its task id and for its identity.
+func (l *StartLedger) Record(st standin.Start, identity string) (byTask, byIdentity TaskStart) {
+	byTask = l.tasks[shardIndex(st.Task)].add(st.Task, st)
 	if identity != "" {
-		same = l.identities[shardIndex(identity)].add(identity, st)
+		byIdentity = l.identities[shardIndex(identity)].add(identity, st)
 	}
-	return task, same
+	return byTask, byIdentity
 }
 
-// Task returns what is recorded of a task id.
+// Task returns the starts recorded for a task id.
 func (l *StartLedger) Task(id string) TaskStart { return l.tasks[shardIndex(id)].get(id) }
 
-// Identity returns what is recorded of a caller's task.
+// Identity returns the starts recorded for a task identity.
 func (l *StartLedger) Identity(id string) TaskStart { return l.identities[shardIndex(id)].get(id) }
 
-// Totals returns the number of starts and the number of task ids or identities started more than once.
+// Totals returns the number of starts, and how many task ids or identities were started more than once.
 func (l *StartLedger) Totals() (starts, twice int) {
-	same := 0
+	identitiesTwice := 0
 	for i := range ledgerShards {
 		n, t := l.tasks[i].totals()
 		_, s := l.identities[i].totals()
 		starts += n
 		twice += t
-		same += s
+		identitiesTwice += s
 	}
-	return starts, max(twice, same)
+	return starts, max(twice, identitiesTwice)
 }
 
 func (s *ledgerShard) totals() (starts, twice int) {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -18,7 +18,7 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// Guards against a load tool that loses jobs or reports a sound dispatcher as faulty.
+// Guards against a load run that loses jobs or reports violations of a correct dispatcher.
 func TestShortLoadRunIsClean(t *testing.T) {
 	w, err := ReadWorkload("../workloads/ci.toml")
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against workload files in the repository that no longer parse.
+// Guards against workload files in the repository that fail to parse.
 func TestWorkloadFilesParse(t *testing.T) {
 	files, err := filepath.Glob("../workloads/*.toml")
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against findings that are reported one at a time or without their place.
+// Guards against findings that are reported one at a time or without their file, line and key.
 func TestWorkloadFindingsAreComplete(t *testing.T) {
 	_, err := ParseWorkload("w.toml", []byte("duration = \"-1s\"\nnonsense = 1\n[tasks]\nslow_share = 2.0\n[demand]\nbase = 0.0\n"))
 	var findings config.Findings
@@ -67,7 +67,7 @@
 	}, findings)
 }
 
-// Guards against a schedule that depends on anything but the workload and the seed.
+// Guards against a schedule that depends on anything other than the workload and the seed.
 func TestScheduleFollowsSeed(t *testing.T) {
 	w, err := ReadWorkload("../workloads/mixed.toml")
 	require.NoError(t, err)
@@ -75,18 +75,19 @@
 	require.NotEqual(t, NewSchedule(w, 7).Jobs, NewSchedule(w, 8).Jobs)
 }
 
-// answered is a job of two tasks with one complete and correct answer, whose tasks each started once.
-type answered struct {
+// answeredJob is a job of two tasks with one complete and correct answer. Tests record the starts and degrade the
+// answer.
+type answeredJob struct {
 	record  *JobRecord
 	ledger  *StartLedger
 	sent    time.Time
 	attempt Attempt
 }
 
-func newAnswered() *answered {
+func newAnsweredJob() *answeredJob {
 	plan := &PlannedJob{Tasks: make([]PlannedTask, 2)}
-	plan.number(3)
-	a := &answered{
+	plan.setNumber(3)
+	a := &answeredJob{
 		record: &JobRecord{Plan: plan, ID: contract.JobID{Domain: 1, Home: 9, Seq: 5}}, ledger: NewStartLedger(),
 		sent: time.Unix(1000, 0),
 	}
@@ -100,17 +101,17 @@
 	return a
 }
 
-func (a *answered) start(task int, after time.Duration) {
+func (a *answeredJob) start(task int, after time.Duration) {
 	a.ledger.Record(standin.Start{Task: a.record.TaskID(task), At: a.sent.Add(after)},
 		a.record.Plan.Tasks[task].Payload.Identity)
 }
 
-func (a *answered) startAll() {
+func (a *answeredJob) startAll() {
 	a.start(0, time.Millisecond)
 	a.start(1, time.Millisecond)
 }
 
-func (a *answered) failed(outcome contract.Outcome) {
+func (a *answeredJob) setFailed(outcome contract.Outcome) {
 	a.attempt.Answer.Verdict, a.attempt.Answer.Results = contract.VerdictFailed, nil
 	a.attempt.Answer.Reports = make([]contract.TaskReport, 2)
 	for i := range a.attempt.Answer.Reports {
@@ -118,11 +119,11 @@
 	}
 }
 
-func (a *answered) refused() {
+func (a *answeredJob) setRefused() {
 	a.attempt.Answer = contract.Answer{Job: a.record.ID, Verdict: contract.VerdictRefused}
 }
 
-func (a *answered) checks() []string {
+func (a *answeredJob) violatedChecks() []string {
 	a.record.Add(a.attempt)
 	var names []string
 	for _, v := range (Checker{Ledger: a.ledger, Faultless: true}).Check(a.record) {
@@ -131,80 +132,80 @@
 	return names
 }
 
-// Guards against a checker that cannot fail: each case breaks one promise and names the check that has to see it.
-func TestCheckerSeesBrokenPromises(t *testing.T) {
+// Guards against a checker that misses violations: each case violates one guarantee and names the check that must fail.
+func TestCheckerReportsViolations(t *testing.T) {
 	cases := map[string]struct {
-		degrade func(*answered)
+		degrade func(*answeredJob)
 		want    []string
 	}{
-		"correct": {func(a *answered) { a.startAll() }, nil},
-		"wrong result": {func(a *answered) {
+		"correct": {func(a *answeredJob) { a.startAll() }, nil},
+		"wrong result": {func(a *answeredJob) {
 			a.startAll()
 			a.attempt.Answer.Results[1] = []byte("other")
-		}, []string{CheckResultsRight}},
-		"results mixed up": {func(a *answered) {
+		}, []string{CheckResultsCorrect}},
+		"results mixed up": {func(a *answeredJob) {
 			a.startAll()
 			r := a.attempt.Answer.Results
 			r[0], r[1] = r[1], r[0]
-		}, []string{CheckResultsRight, CheckResultsRight}},
-		"answer of another job": {func(a *answered) {
+		}, []string{CheckResultsCorrect, CheckResultsCorrect}},
+		"answer of another job": {func(a *answeredJob) {
 			a.startAll()
 			a.attempt.Answer.Job.Seq++
-		}, []string{CheckResultsRight}},
-		"partial": {func(a *answered) {
+		}, []string{CheckResultsCorrect}},
+		"partial": {func(a *answeredJob) {
 			a.startAll()
 			a.attempt.Answer.Results = a.attempt.Answer.Results[:1]
-		}, []string{CheckAnswerWhole, CheckAnswerWhole}},
-		"failed with results": {func(a *answered) {
+		}, []string{CheckAnswerComplete, CheckAnswerComplete}},
+		"failed with results": {func(a *answeredJob) {
 			a.startAll()
 			results := a.attempt.Answer.Results
-			a.failed(contract.OutcomeUnknown)
+			a.setFailed(contract.OutcomeUnknown)
 			a.attempt.Answer.Results = results
-		}, []string{CheckAnswerWhole}},
-		"result without a start": {func(a *answered) { a.start(0, 0) }, []string{CheckResultsRight}},
-		"not run, but started": {func(a *answered) {
+		}, []string{CheckAnswerComplete}},
+		"result without a start": {func(a *answeredJob) { a.start(0, 0) }, []string{CheckResultsCorrect}},
+		"not run, but started": {func(a *answeredJob) {
 			a.start(1, time.Millisecond)
-			a.failed(contract.OutcomeNotRun)
-		}, []string{CheckNotRunTrue}},
-		"not run": {func(a *answered) { a.failed(contract.OutcomeNotRun) }, nil},
-		"false refusal": {func(a *answered) {
+			a.setFailed(contract.OutcomeNotRun)
+		}, []string{CheckNotRunAccurate}},
+		"not run": {func(a *answeredJob) { a.setFailed(contract.OutcomeNotRun) }, nil},
+		"false refusal": {func(a *answeredJob) {
 			a.start(0, time.Hour)
-			a.refused()
-		}, []string{CheckNotRunTrue}},
-		"true refusal": {func(a *answered) { a.refused() }, nil},
-		"refused after a start, accepted elsewhere": {func(a *answered) {
+			a.setRefused()
+		}, []string{CheckNotRunAccurate}},
+		"true refusal": {func(a *answeredJob) { a.setRefused() }, nil},
+		"refused after a start, accepted elsewhere": {func(a *answeredJob) {
 			a.start(0, -time.Second)
 			a.record.Add(Attempt{Received: a.sent.Add(time.Minute), Err: context.DeadlineExceeded})
-			a.refused()
-		}, []string{CheckNotRunTrue}},
-		"refused before an accepted submission": {func(a *answered) {
+			a.setRefused()
+		}, []string{CheckNotRunAccurate}},
+		"refused before an accepted submission": {func(a *answeredJob) {
 			a.start(0, time.Second)
 			a.record.Add(Attempt{Received: a.sent.Add(time.Minute), Err: context.DeadlineExceeded})
-			a.refused()
+			a.setRefused()
 		}, nil},
-		"started after the answer": {func(a *answered) {
+		"started after the answer": {func(a *answeredJob) {
 			a.startAll()
-			a.failed(contract.OutcomeUnknown)
+			a.setFailed(contract.OutcomeUnknown)
 			a.attempt.Received = a.sent.Add(-time.Minute)
 		}, []string{CheckNoLateStart, CheckNoLateStart}},
-		"answers differ": {func(a *answered) {
+		"answers differ": {func(a *answeredJob) {
 			a.startAll()
 			a.record.Add(a.attempt)
-			a.failed(contract.OutcomeUnknown)
+			a.setFailed(contract.OutcomeUnknown)
 		}, []string{CheckAnswersAgree}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := newAnswered()
+			a := newAnsweredJob()
 			c.degrade(a)
-			require.Equal(t, c.want, a.checks())
+			require.Equal(t, c.want, a.violatedChecks())
 		})
 	}
 }
 
-// Guards against a doubled start that is not counted, under the same task id and under another id for the same task.
-func TestLedgerCountsDoubledStarts(t *testing.T) {
-	a := newAnswered()
+// Guards against a duplicate start that is not counted, under the same task id or under another id for the same task.
+func TestLedgerCountsDuplicateStarts(t *testing.T) {
+	a := newAnsweredJob()
 	a.startAll()
 	starts, twice := a.ledger.Totals()
 	require.Equal(t, []int{2, 0}, []int{starts, twice})
@@ -212,7 +213,7 @@
 	starts, twice = a.ledger.Totals()
 	require.Equal(t, []int{3, 1}, []int{starts, twice})
 
-	b := newAnswered()
+	b := newAnsweredJob()
 	b.startAll()
 	b.record.ID.Seq++
 	b.start(0, time.Second)
@@ -220,8 +221,8 @@
 	require.Equal(t, 1, twice)
 }
 
-// Guards against a wait that is not attributed to long work above its cap.
-func TestObstructionsByLongWork(t *testing.T) {
+// Guards against a wait that is not attributed to long work above its cap on the worker's slots.
+func TestWaitBehindLongWork(t *testing.T) {
 	r := newWorkerRecord(machine.WorkerID("w"), 4)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	for i, span := range [][2]int{{0, 10}, {2, 6}, {4, 20}} {
@@ -229,7 +230,7 @@
 		r.started(standin.Start{Task: task, Kind: kindReport, At: at(span[0])}, Payload{Long: true})
 		r.ended(task, at(span[1]))
 	}
-	blocked := union(r.obstructions(0.4, at(30)))
+	blocked := union(r.blockedByLong(0.4, at(30)))
 	require.Equal(t, []interval{{at(2), at(10)}}, blocked)
 	require.Equal(t, 3*time.Second, overlap(interval{at(7), at(15)}, blocked))
 }
--- a/load/measure.go
+++ b/load/measure.go
@@ -7,34 +7,34 @@
 	"github.com/cicadadale/cicadadale/metric"
 )
 
-// sample is one complete job of short tasks.
+// sample is the measurement of one complete job of short tasks.
 type sample struct {
-	at       time.Duration
-	customer string
-	ratio    float64
-	fastest  float64
-	deadline bool
-	wait     time.Duration
+	at          time.Duration
+	customer    string
+	ratio       float64
+	fastest     float64
+	metDeadline bool
+	wait        time.Duration
 }
 
-// measurement derives the report from the records of a run. It is used by one goroutine after the run.
+// measurement computes the report from the records of a run. It is used by one goroutine after the run.
 type measurement struct {
-	run     *Run
-	records []*JobRecord
-	end     time.Time
-	samples []sample
-	waits   []float64
-	behind  []float64
+	run        *Run
+	records    []*JobRecord
+	end        time.Time
+	samples    []sample
+	waits      []float64
+	behindLong []float64
 }
 
-// verdicts counts jobs by their first final answer and checks all answers.
-func (m *measurement) verdicts(r *Report) []Violation {
+// checkAnswers counts jobs by their first final answer and checks all answers.
+func (m *measurement) checkAnswers(r *Report) []Violation {
 	checker := Checker{Ledger: m.run.recorder.Ledger, Faultless: true}
 	var all []Violation
 	late := 0
 	for _, rec := range m.records {
 		r.JobsSubmitted++
-		first, ok := rec.First()
+		first, ok := rec.FirstFinal()
 		switch {
 		case !ok:
 			r.AnswersMissing++
@@ -55,7 +55,7 @@
 	r.LateShare = share(float64(late), float64(r.JobsComplete))
 	for _, v := range all {
 		switch v.Check {
-		case CheckNotRunTrue:
+		case CheckNotRunAccurate:
 			r.RefusalsFalse++
 		case CheckAnswerArrives:
 		default:
@@ -66,16 +66,16 @@
 	return all
 }
 
-// responses measures response ratios and waits of jobs of short tasks.
-func (m *measurement) responses(r *Report) {
-	blocked := m.run.recorder.obstructions(m.run.workload.Long.Cap, m.end)
+// measureResponses computes response ratios and waits of jobs of short tasks.
+func (m *measurement) measureResponses(r *Report) {
+	blocked := m.run.recorder.blockedByLong(m.run.workload.Long.Cap, m.end)
 	for _, rec := range m.records {
 		attempts := rec.Attempts()
 		if rec.Plan.Long || len(attempts) == 0 {
 			continue
 		}
 		wait := m.taskWaits(rec, blocked)
-		first, ok := rec.First()
+		first, ok := rec.FirstFinal()
 		if !ok || first.Answer.Verdict != contract.VerdictComplete {
 			continue
 		}
@@ -84,7 +84,7 @@
 	m.summarise(r)
 }
 
-// taskWaits collects the waits of a job's tasks and returns the longest.
+// taskWaits records the waits of a job's tasks and returns the longest.
 func (m *measurement) taskWaits(rec *JobRecord, blocked []interval) time.Duration {
 	longest := time.Duration(0)
 	sent := rec.firstSent()
@@ -96,12 +96,12 @@
 		wait := max(0, st.First.Sub(sent))
 		longest = max(longest, wait)
 		m.waits = append(m.waits, millis(wait))
-		m.behind = append(m.behind, millis(overlap(interval{sent, st.First}, blocked)))
+		m.behindLong = append(m.behindLong, millis(overlap(interval{sent, st.First}, blocked)))
 	}
 	return longest
 }
 
-// firstSent returns when the job was first submitted.
+// firstSent returns the time of the job's first submission.
 func (r *JobRecord) firstSent() time.Time {
 	var first time.Time
 	for _, a := range r.Attempts() {
@@ -123,7 +123,7 @@
 	took := first.Received.Sub(rec.firstSent())
 	trip := m.run.roundTrip
 	return sample{
-		at: rec.Plan.At, customer: rec.Plan.Customer, wait: wait, deadline: took <= rec.Plan.Deadline,
+		at: rec.Plan.At, customer: rec.Plan.Customer, wait: wait, metDeadline: took <= rec.Plan.Deadline,
 		ratio:   float64(took) / float64(longest+trip),
 		fastest: float64(took) / (float64(nominal)/m.run.schedule.Fastest() + float64(trip)),
 	}
@@ -140,7 +140,7 @@
 	r.ResponseRatioP50, r.ResponseRatioP99 = quantile(ratios, 0.5), quantile(ratios, 0.99)
 	r.ResponseRatioFastestP50, r.ResponseRatioFastestP99 = quantile(fastest, 0.5), quantile(fastest, 0.99)
 	r.ShortWaitP50MS, r.ShortWaitP99MS = quantile(m.waits, 0.5), quantile(m.waits, 0.99)
-	r.ShortWaitBehindLongP99MS = quantile(m.behind, 0.99)
+	r.ShortWaitBehindLongP99MS = quantile(m.behindLong, 0.99)
 	r.ResponseRatioP50ByCustomer = make(map[string]float64)
 	r.ResponseRatioP99ByCustomer = make(map[string]float64)
 	for c, values := range byCustomer {
@@ -149,36 +149,36 @@
 	}
 }
 
-// crest compares the tasks served in time during the crest with the lesser of demand and capacity. Without a crest it
-// is the share of all tasks served in time.
-func (m *measurement) crest(r *Report) {
+// measurePeak compares the tasks served before their deadline during the peak with the lesser of demand and capacity.
+// Without a peak it computes the share of all tasks that were served before their deadline.
+func (m *measurement) measurePeak(r *Report) {
 	begin := m.run.begin
-	crests := m.run.workload.Demand.Crests(time.Duration(m.run.workload.Duration))
-	steady := m.run.workload.Demand.Crest == 0
+	peaks := m.run.workload.Demand.Peaks(time.Duration(m.run.workload.Duration))
+	steady := m.run.workload.Demand.Peak == 0
 	var length, work, busy float64
-	for _, s := range crests {
+	for _, s := range peaks {
 		length += (s.To - s.From).Seconds()
 		busy += m.run.recorder.busyShare(interval{begin.Add(s.From), begin.Add(s.To)}) * (s.To - s.From).Seconds()
 	}
 	for _, rec := range m.records {
 		n := len(rec.Plan.Tasks)
-		if within(crests, rec.Plan.At) {
-			r.CrestTasksDemanded += n
+		if within(peaks, rec.Plan.At) {
+			r.PeakTasksDemanded += n
 			work += rec.Plan.Work().Seconds()
 		}
-		first, ok := rec.First()
+		first, ok := rec.FirstFinal()
 		if !ok || first.Answer.Verdict != contract.VerdictComplete {
 			continue
 		}
 		inTime := first.Received.Sub(rec.firstSent()) <= rec.Plan.Deadline
-		if inTime && (steady || within(crests, first.Received.Sub(begin))) {
-			r.CrestTasksServed += n
+		if inTime && (steady || within(peaks, first.Received.Sub(begin))) {
+			r.PeakTasksServed += n
 		}
 	}
 	capacity := m.run.schedule.Capacity(m.run.workload) * length
-	r.CrestTasksCapacity = share(capacity*float64(r.CrestTasksDemanded), work)
-	r.CrestServedRatio = share(float64(r.CrestTasksServed), min(float64(r.CrestTasksDemanded), r.CrestTasksCapacity))
-	r.CrestSlotsBusyShare = share(busy, length)
+	r.PeakTasksCapacity = share(capacity*float64(r.PeakTasksDemanded), work)
+	r.CrestServedRatio = share(float64(r.PeakTasksServed), min(float64(r.PeakTasksDemanded), r.PeakTasksCapacity))
+	r.PeakSlotsBusyShare = share(busy, length)
 }
 
 func within(spans []Span, t time.Duration) bool {
@@ -190,24 +190,24 @@
 	return false
 }
 
-// messages counts what went between the dispatcher's processes and the workers. Heartbeats and status polls are sent at
-// a fixed rate whatever the load; they are measured before the run and reported apart.
-func (m *measurement) messages(r *Report) {
+// countMessages counts the messages between the dispatcher's processes and the workers. Heartbeats and status polls are
+// sent at a fixed rate regardless of the load; they are measured before the run and reported separately.
+func (m *measurement) countMessages(r *Report) {
 	t := m.run.recorder.totals()
-	d := m.run.counters().sub(m.run.before)
+	d := m.run.counters().sub(m.run.startCounters)
 	background := m.run.idlePeerRate * m.end.Sub(m.run.begin).Seconds()
 	peer := max(0, float64(d.peer)-background)
 	tasks := float64(r.TasksStarted)
 	direct := 2 * float64(r.TasksStarted+t.rejectedAll+t.fenced)
 	r.MessagesPerTask = share(direct+peer, tasks)
-	// A rejected start, a fence and an unused grant cost a message and its reply or return each.
+	// A rejected start and a fence each cost a message and its reply, an unused grant a message and its return.
 	r.WastedMessagesPerTask = share(2*float64(t.rejectedAll+t.fenced)+2*float64(d.unused), tasks)
 	r.BackgroundMessagesPerS = m.run.idlePeerRate + m.run.idlePollRate
 	r.StartsRejected, r.RejectedByReason, r.Fences = t.rejectedAll, t.rejected, t.fenced
 	r.GrantsUnused, r.PeerMessages = d.unused, d.peer
 }
 
-// daemonCounters are counters summed over the daemons.
+// daemonCounters are counters summed over all entry daemons.
 type daemonCounters struct{ peer, unused int64 }
 
 func (c daemonCounters) sub(o daemonCounters) daemonCounters {
--- a/load/mutations.sh
+++ b/load/mutations.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Breaks one safety rule at a time on a scratch copy of the repository and prints which check of the soak run saw it,
-# after how many starts. Usage: load/mutations.sh [seed] [duration]. Exits 1 if a broken rule was not seen.
+# Breaks one safety rule at a time on a scratch copy of the repository and prints which checks of the soak run detected
+# it, and after how many starts. Usage: load/mutations.sh [seed] [duration]. Exits 1 if a mutation was not detected.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seed=${1:-1}
@@ -9,12 +9,12 @@
 trap 'rm -rf "$scratch"' EXIT
 missed=0
 
-# replace FILE OLD NEW replaces a text that must occur.
+# replace FILE OLD NEW replaces the first occurrence of a text, or fails if there is none.
 replace() {
   OLD=$2 NEW=$3 perl -0pi -e 's/\Q$ENV{OLD}\E/$ENV{NEW}/ or die "text not found in $ARGV: $ENV{OLD}\n"' "$scratch/src/$1"
 }
 
-# mutation NAME FAULTS runs the soak on the copy as changed by the function of the same name.
+# mutation NAME FAULTS applies the function NAME to the copy and runs the soak on it.
 mutation() {
   local name=$1 faults=()
   shift
@@ -34,27 +34,27 @@
 
 none() { :; }
 
-# A start in doubt is taken for one that never happened and is sent again.
+# A start in doubt is treated as not started and is sent again.
 resend_in_doubt() {
   replace dispatch/run.go 'reply, err = d.resolve(req)' 'err = fault.NotStarted.New("assumed")'
 }
 
-# Another incarnation of a worker is taken for a proof that the task never started.
+# A new incarnation of a worker is treated as proof that the task has not started.
 ignore_incarnation() {
   replace link/worker.go 'reply.Outcome = contract.OutcomeUnknown
 		reply.Detail = "worker restarted"
 		return reply, nil' 'return reply, fault.NotStarted.New("worker restarted")'
 }
 
-# A home that was paused goes on, and the worker ignores the start-by time of its starts.
+# A home continues after a pause, and the worker ignores the start-by time of its starts.
 accept_stale_start() {
   replace standin/worker.go 'l.clock().Milliseconds() >= startBy' 'false && startBy > 0'
   replace entry/lapse.go 'return !d.lapse.alive(now, d.resumed) && !d.fenced.Load() && d.lease.Holds(d.domain.Listed(), now)' \
     'return !now.IsZero()'
 }
 
-# A planned stop appends and announces no closure, and the members do not pass it on.
-drop_closure() {
+# A planned stop appends and announces no tombstone, and the members do not forward tombstones.
+drop_tombstone() {
   replace entry/closures.go '	if d.homes.Succeed(successionOf(c), d.o.Now()) {
 		d.spread(successionOf(c))
 	}
@@ -70,7 +70,7 @@
 '
 }
 
-# A leaving worker is given to new work.
+# New work is placed on a leaving worker.
 ignore_leaving() {
   replace machine/worker.go 'spec.Leaving = spec.Leaving || w.spec.Leaving' 'spec.Leaving = false'
 }
@@ -79,6 +79,6 @@
 mutation resend_in_doubt worker_replies_lost
 mutation ignore_incarnation worker_crash
 mutation accept_stale_start entry_pause
-mutation drop_closure entry_planned_stop
+mutation drop_tombstone entry_planned_stop
 mutation ignore_leaving worker_leaving
 exit "$missed"
--- a/load/network.go
+++ b/load/network.go
@@ -7,16 +7,16 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// platformName is the destination of the links to the platform's log.
+// platformName is the destination name of the links to the platform's log.
 const platformName = "platform"
 
 type route struct{ from, to string }
 
-// Network holds a relay for each ordered pair of an entry VM and what it connects to. mu guards the map.
+// Network holds a relay for each pair of an entry VM and a destination that it connects to. mu guards the maps.
 type Network struct {
 	mu     sync.Mutex
 	relays map[route]*Relay
-	// down counts the crashes in progress of a destination, so that a relay opened meanwhile is cut too.
+	// down counts the crashes in progress of each destination, so that relays opened during a crash are cut as well.
 	down map[string]int
 }
 
@@ -25,7 +25,7 @@
 	return &Network{relays: make(map[route]*Relay), down: make(map[string]int)}
 }
 
-// Link returns the relay between two machines, opening it if needed.
+// Link returns the relay from an entry VM to a destination, opening it if needed, and sets its target address.
 func (n *Network) Link(from, to, target string) (*Relay, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,7 +44,7 @@
 	return r, nil
 }
 
-// Select returns the relays of the routes that match.
+// Select returns the relays of the matching routes.
 func (n *Network) Select(match func(from, to string) bool) []*Relay {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Down cuts all links to a machine until Up.
+// Down cuts all links to a destination until Up is called.
 func (n *Network) Down(to string) {
 	n.mu.Lock()
 	n.down[to]++
@@ -67,7 +67,7 @@
 	}
 }
 
-// Up takes one Down back.
+// Up reverts one call of Down.
 func (n *Network) Up(to string) {
 	n.mu.Lock()
 	n.down[to]--
@@ -77,70 +77,70 @@
 	}
 }
 
-// Close ends all links.
+// Close closes all links.
 func (n *Network) Close() {
 	for _, r := range n.Select(func(_, _ string) bool { return true }) {
 		r.Close()
 	}
 }
 
-// Roster is the platform's list. mu guards the VMs and the fault.
-type Roster struct {
+// VMList is the platform's list of VMs. mu guards the VMs and the fault.
+type VMList struct {
 	mu   sync.Mutex
 	vms  map[string]platform.VM
 	down bool
 }
 
-// NewRoster returns an empty list.
-func NewRoster() *Roster { return &Roster{vms: make(map[string]platform.VM)} }
+// NewVMList returns an empty list.
+func NewVMList() *VMList { return &VMList{vms: make(map[string]platform.VM)} }
 
 // Set adds or updates a VM.
-func (r *Roster) Set(vm platform.VM) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.vms[vm.ID] = vm
+func (l *VMList) Set(vm platform.VM) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.vms[vm.ID] = vm
 }
 
 // Leave marks a VM as leaving.
-func (r *Roster) Leave(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if vm, ok := r.vms[id]; ok {
+func (l *VMList) Leave(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if vm, ok := l.vms[id]; ok {
 		vm.Leaving = true
-		r.vms[id] = vm
+		l.vms[id] = vm
 	}
 }
 
-// Remove drops a VM.
-func (r *Roster) Remove(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.vms, id)
+// Remove removes a VM from the list.
+func (l *VMList) Remove(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.vms, id)
 }
 
-// SetDown makes the list fail.
-func (r *Roster) SetDown(down bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.down = down
+// SetDown makes the list unavailable or available again.
+func (l *VMList) SetDown(down bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.down = down
 }
 
-// VMs returns the list, or false while it fails.
-func (r *Roster) VMs() ([]platform.VM, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := make([]platform.VM, 0, len(r.vms))
-	for _, vm := range r.vms {
+// VMs returns the list, and false while it is unavailable.
+func (l *VMList) VMs() ([]platform.VM, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]platform.VM, 0, len(l.vms))
+	for _, vm := range l.vms {
 		out = append(out, vm)
 	}
-	return out, !r.down
+	return out, !l.down
 }
 
-// View serves the list to one entry VM, with the addresses of the relays that lead from this VM.
-type View struct {
-	vm      string
-	roster  *Roster
-	network *Network
-	shown   func(vm, leaving string)
-	server  *httpserve.Server
+// VMListServer serves the list to one entry VM, with the addresses of the relays from this VM.
+type VMListServer struct {
+	vm              string
+	vmList          *VMList
+	network         *Network
+	onLeavingListed func(vm, leaving string)
+	server          *httpserve.Server
 }
--- a/load/payload.go
+++ b/load/payload.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// payloadHeader is the length of the nominal run time and the flags in front of a task's identity.
+// payloadHeader is the length of the nominal run time and the flags, which precede a task's identity.
 const payloadHeader = 9
 
 const (
@@ -18,11 +18,11 @@
 	flagFails
 )
 
-// errTaskFails is the failure of a task that was drawn to fail.
+// errTaskFails is the error of a task that the generator drew to fail.
 var errTaskFails = errors.New("task was drawn to fail")
 
-// Payload is what a generated task carries. Identity names the task in the run, so that the expected result follows
-// from it and a result that belongs to another task is recognised.
+// Payload is the payload of a generated task. Identity is unique in the run; the expected result is derived from it, so
+// that the result of another task is recognised.
 type Payload struct {
 	Identity  string
 	Nominal   time.Duration
@@ -31,7 +31,7 @@
 	Fails     bool
 }
 
-// Encode writes the payload.
+// Encode returns the encoded payload.
 func (p Payload) Encode() []byte {
 	out := make([]byte, payloadHeader, payloadHeader+len(p.Identity))
 	binary.BigEndian.PutUint64(out, uint64(p.Nominal.Microseconds()))
@@ -46,7 +46,7 @@
 	return append(out, p.Identity...)
 }
 
-// DecodePayload reads what Encode writes.
+// DecodePayload decodes a payload that Encode returned.
 func DecodePayload(b []byte) (Payload, error) {
 	if len(b) <= payloadHeader {
 		return Payload{}, fmt.Errorf("payload of %d bytes is too short", len(b))
@@ -64,7 +64,7 @@
 	return fmt.Appendf(nil, "%s=%016x", identity, xxhash.Sum64String("result of "+identity))
 }
 
-// TimedWork implements standin.Work: it runs a task as a timer of the nominal run time.
+// TimedWork implements standin.Work: a task takes its nominal run time and returns its expected result.
 func TimedWork(_, _ string, payload []byte) ([]byte, time.Duration, error) {
 	p, err := DecodePayload(payload)
 	if err != nil {
--- a/load/plot.go
+++ b/load/plot.go
@@ -21,7 +21,7 @@
 	plotHeight = 10 * vg.Inch
 )
 
-// Plot holds curves over the time of arrival.
+// Plot holds curves over the arrival time of jobs.
 type Plot struct {
 	title  string
 	curves []curve
@@ -32,7 +32,7 @@
 	lines []plotter.XYs
 }
 
-// newPlot groups the samples of a run by the time of arrival.
+// newPlot groups the samples of a run by arrival time.
 func newPlot(m *measurement) *Plot {
 	var ratios50, ratios99, waits, served, demand plotter.XYs
 	length := time.Duration(m.run.workload.Duration)
@@ -44,7 +44,7 @@
 			if span.Contains(s.at) {
 				ratio = append(ratio, s.ratio)
 				wait = append(wait, millis(s.wait))
-				if s.deadline {
+				if s.metDeadline {
 					inTime++
 				}
 			}
@@ -66,12 +66,12 @@
 		curves: []curve{
 			{"response ratio, p50 and p99", []plotter.XYs{ratios50, ratios99}},
 			{"longest wait of a job, p99 (ms)", []plotter.XYs{waits}},
-			{"share served in time; demand", []plotter.XYs{served, demand}},
+			{"share served before the deadline; demand", []plotter.XYs{served, demand}},
 		},
 	}
 }
 
-// Save writes a PNG file, or an SVG file if the name ends so.
+// Save writes a PNG file, or an SVG file if the file name ends in .svg.
 func (p *Plot) Save(file string) error {
 	var canvas vg.CanvasSizer = vgimg.New(plotWidth, plotHeight)
 	if filepath.Ext(file) == ".svg" {
--- a/load/policy.go
+++ b/load/policy.go
@@ -11,7 +11,7 @@
 	return names
 }
 
-// CheckPolicy reports a name that is no policy.
+// CheckPolicy returns an error if name is not a placement policy.
 func CheckPolicy(name string) error {
 	_, err := dispatch.ParsePolicy(name)
 	return err
--- a/load/process.go
+++ b/load/process.go
@@ -17,57 +17,57 @@
 )
 
 const (
-	// Ports of entry daemons lie below the range from which the kernel takes the ports of outgoing connections, so that
-	// a daemon that is started again finds its ports free.
+	// Ports of entry daemons lie below the kernel's range of ephemeral ports, so that no outgoing connection takes the
+	// port of a daemon that is being restarted.
 	firstPort, lastPort = 20000, 32000
 	portAttempts        = 200
 	listenTimeout       = 10 * time.Second
-	// fencedMessage is a part of the error with which a daemon ends that the others count as gone.
+	// fencedMessage is part of the error with which a daemon exits when the other entry VMs count it as gone.
 	fencedMessage = "count this process as gone"
 )
 
-// EntryProcess is an entry VM whose daemon runs as a child process. mu guards the process and the flags; the other
-// fields do not change.
+// EntryProcess is an entry VM whose daemon runs as a child process. mu guards the fields below it; the other fields do
+// not change.
 type EntryProcess struct {
-	ID       string
-	Domain   zone.DomainID
-	Callers  string
-	Peers    string
-	Admin    string
-	settings string
-	log      string
-	view     *View
-	// ended is told of a daemon that ended without being told to.
-	ended func(p *EntryProcess, err error)
-
-	mu        sync.Mutex
-	process   *child.Process
-	expected  bool
-	busy      bool
-	retired   bool
-	disturbed bool
-}
-
-// EntrySetup is what an entry daemon's settings are made from.
+	ID           string
+	Domain       zone.DomainID
+	Callers      string
+	Peers        string
+	Admin        string
+	settings     string
+	log          string
+	vmListServer *VMListServer
+	// onExit is called when the daemon has exited unexpectedly.
+	onExit func(p *EntryProcess, err error)
+
+	mu           sync.Mutex
+	process      *child.Process
+	exitExpected bool
+	busy         bool
+	retired      bool
+	disturbed    bool
+}
+
+// EntrySetup holds the parameters of an entry daemon.
 type EntrySetup struct {
-	ID     string
-	Domain zone.DomainID
-	Dir    string
-	Schema string
-	Log    string
-	Slots  int
-	View   *View
-	// Addresses gives out those that the daemon listens on.
+	ID           string
+	Domain       zone.DomainID
+	Dir          string
+	Schema       string
+	Log          string
+	Slots        int
+	VMListServer *VMListServer
+	// Addresses allocates the addresses that the daemon listens on.
 	Addresses *Addresses
 	LogLevel  string
-	Ended     func(p *EntryProcess, err error)
+	OnExit    func(p *EntryProcess, err error)
 }
 
-// NewEntryProcess writes the settings of a daemon.
+// NewEntryProcess allocates a daemon's addresses and writes its settings file.
 func NewEntryProcess(s EntrySetup) (*EntryProcess, error) {
 	p := &EntryProcess{
 		ID: s.ID, Domain: s.Domain, settings: filepath.Join(s.Dir, s.ID+".toml"), log: filepath.Join(s.Dir, s.ID+".log"),
-		view: s.View, ended: s.Ended,
+		vmListServer: s.VMListServer, onExit: s.OnExit,
 	}
 	for _, address := range []*string{&p.Callers, &p.Peers, &p.Admin} {
 		a, err := s.Addresses.Free()
@@ -78,31 +78,31 @@
 	}
 	text := fmt.Sprintf("[vm]\nid = %q\nfailure_domain = %d\nregion = \"pwani\"\n[listen]\ncallers = %q\npeers = %q\n"+
 		"admin = %q\n[platform]\nlog = %q\nlist = %q\n[schema]\nfiles = [%q]\n[workers]\nconnections_per_worker = %d\n"+
-		"[log]\nlevel = %q\n", s.ID, s.Domain, p.Callers, p.Peers, p.Admin, "http://"+s.Log, "http://"+s.View.Address(),
-		s.Schema, s.Slots, s.LogLevel)
+		"[log]\nlevel = %q\n", s.ID, s.Domain, p.Callers, p.Peers, p.Admin, "http://"+s.Log,
+		"http://"+s.VMListServer.Address(), s.Schema, s.Slots, s.LogLevel)
 	return p, os.WriteFile(p.settings, []byte(text), 0o600)
 }
 
-// Addresses gives out loopback addresses. mu guards the map.
+// Addresses allocates loopback addresses. mu guards the map.
 type Addresses struct {
 	ip string
 
-	mu    sync.Mutex
-	given map[string]bool
+	mu   sync.Mutex
+	used map[string]bool
 }
 
-// NewAddresses returns addresses of one IP number.
-func NewAddresses(ip string) *Addresses { return &Addresses{ip: ip, given: make(map[string]bool)} }
+// NewAddresses returns an allocator for addresses of one IP address.
+func NewAddresses(ip string) *Addresses { return &Addresses{ip: ip, used: make(map[string]bool)} }
 
-// Free draws an address that nothing listens on and that was not given out before, below the ports of outgoing connections.
-// It is no part of the seeded choices of a run.
+// Free returns a random address that is not in use, was not returned before and lies below the kernel's range of
+// ephemeral ports. It does not use the seed of the run.
 func (a *Addresses) Free() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var last error
 	for range portAttempts {
 		address := fmt.Sprintf("%s:%d", a.ip, firstPort+rand.IntN(lastPort-firstPort))
-		if a.given[address] {
+		if a.used[address] {
 			continue
 		}
 		l, err := net.Listen("tcp", address)
@@ -110,20 +110,20 @@
 			last = err
 			continue
 		}
-		a.given[address] = true
+		a.used[address] = true
 		return address, l.Close()
 	}
 	return "", fmt.Errorf("no free port: %w", last)
 }
 
-// VM returns the entry of the platform's list.
+// VM returns the VM's entry in the platform's list.
 func (p *EntryProcess) VM() platform.VM {
 	return platform.VM{
 		ID: p.ID, Kind: platform.KindEntry, Domain: p.Domain, PeerAddress: p.Peers, CallerAddress: p.Callers,
 	}
 }
 
-// Start runs the daemon and waits until it listens for callers.
+// Start starts the daemon and waits until it listens for callers.
 func (p *EntryProcess) Start() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -134,15 +134,15 @@
 		return err
 	}
 	p.mu.Lock()
-	p.process, p.disturbed, p.expected = process, false, false
+	p.process, p.disturbed, p.exitExpected = process, false, false
 	p.mu.Unlock()
 	go func() {
 		<-process.Exited()
 		p.mu.Lock()
-		expected := p.expected
+		exitExpected := p.exitExpected
 		p.mu.Unlock()
-		if !expected && p.ended != nil {
-			p.ended(p, process.Err())
+		if !exitExpected && p.onExit != nil {
+			p.onExit(p, process.Err())
 		}
 	}()
 	return p.waitListening(process.Exited())
@@ -171,14 +171,14 @@
 	p.process.Signal(s)
 }
 
-// Expect says that the daemon is about to be ended on purpose.
-func (p *EntryProcess) Expect() {
+// ExpectExit marks the next exit of the daemon as intended.
+func (p *EntryProcess) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected = true
+	p.exitExpected = true
 }
 
-// Fenced reports whether the daemon's last words are that the other entry VMs count it as gone.
+// Fenced reports whether the daemon's last log line says that the other entry VMs count it as gone.
 func (p *EntryProcess) Fenced() bool {
 	text, err := os.ReadFile(p.log)
 	if err != nil {
@@ -188,7 +188,7 @@
 	return strings.Contains(lines[len(lines)-1], fencedMessage)
 }
 
-// Wait returns when the daemon has ended, with its error, or false after the timeout.
+// Wait waits until the daemon has exited and returns its error, or false after the timeout.
 func (p *EntryProcess) Wait(timeout time.Duration) (error, bool) { //nolint:revive // The error is a result, not a failure.
 	p.mu.Lock()
 	process := p.process
@@ -196,14 +196,15 @@
 	return process.Wait(timeout)
 }
 
-// Kill ends the daemon at once.
+// Kill kills the daemon and waits until it has exited.
 func (p *EntryProcess) Kill() {
-	p.Expect()
+	p.ExpectExit()
 	p.Signal(syscall.SIGKILL)
 	_, _ = p.Wait(listenTimeout)
 }
 
-// Reserve claims the process for a fault that stops or ends it.
+// Reserve reserves the process for a fault that stops or kills it. It reports false if the process is reserved or
+// retired.
 func (p *EntryProcess) Reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,29 +222,29 @@
 	p.busy = false
 }
 
-// Retire says that the daemon will not run again.
+// Retire marks the VM as permanently out of service and stops serving the list to it.
 func (p *EntryProcess) Retire() {
 	p.mu.Lock()
 	p.retired = true
 	p.mu.Unlock()
-	p.view.Close()
+	p.vmListServer.Close()
 }
 
-// Serving reports whether callers may expect the daemon to run.
+// Serving reports whether the VM is in service. Its daemon may be down because of a fault.
 func (p *EntryProcess) Serving() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.retired
 }
 
-// Disturb notes that a fault has touched the VM's links since its daemon was started.
-func (p *EntryProcess) Disturb() {
+// MarkDisturbed records that a fault has affected the VM's links since its daemon was started.
+func (p *EntryProcess) MarkDisturbed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disturbed = true
 }
 
-// Disturbed reports whether a fault has touched the VM's links since its daemon was started.
+// Disturbed reports whether a fault has affected the VM's links since its daemon was started.
 func (p *EntryProcess) Disturbed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -8,12 +8,12 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// Recorder is the observer of all workers of a run. mu guards the map of records; each record and each shard of the
-// ledger has its own lock.
+// Recorder observes all workers of a run. mu guards the map of records; each record and each shard of the ledger has
+// its own lock.
 type Recorder struct {
 	Ledger *StartLedger
-	// seen is told of each start with the counts of its task id and its identity; nil drops it.
-	seen func(s standin.Start, p Payload, task, same TaskStart)
+	// onStart is called for each start with the counts for its task id and its identity; it may be nil.
+	onStart func(s standin.Start, p Payload, byTask, byIdentity TaskStart)
 
 	mu      sync.RWMutex
 	workers map[machine.WorkerID]*WorkerRecord
@@ -24,7 +24,7 @@
 	return &Recorder{Ledger: NewStartLedger(), workers: make(map[machine.WorkerID]*WorkerRecord)}
 }
 
-// Add makes a worker known before it serves.
+// Add registers a worker. It must be called before the worker serves.
 func (r *Recorder) Add(id machine.WorkerID, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,10 +53,10 @@
 	if err != nil {
 		p = Payload{}
 	}
-	task, same := r.Ledger.Record(s, p.Identity)
+	byTask, byIdentity := r.Ledger.Record(s, p.Identity)
 	r.worker(s.Worker).started(s, p)
-	if r.seen != nil {
-		r.seen(s, p, task, same)
+	if r.onStart != nil {
+		r.onStart(s, p, byTask, byIdentity)
 	}
 }
 
@@ -78,7 +78,7 @@
 	r.worker(w).count(func(x *WorkerRecord) { x.polled++ })
 }
 
-// workerTotals are the counts of all workers.
+// workerTotals are counters summed over all workers.
 type workerTotals struct {
 	rejected       map[string]int
 	rejectedAll    int
@@ -100,24 +100,24 @@
 	return t
 }
 
-// obstructions returns when any worker's slots were held by long work above its cap or by a stoppable straggler.
-func (r *Recorder) obstructions(longCap float64, now time.Time) []interval {
+// blockedByLong returns when slots of any worker were held by long work above its cap or by a stoppable straggler.
+func (r *Recorder) blockedByLong(longCap float64, now time.Time) []interval {
 	var all []interval
 	for _, w := range r.all() {
-		all = append(all, w.obstructions(longCap, now)...)
+		all = append(all, w.blockedByLong(longCap, now)...)
 	}
 	return union(all)
 }
 
 func (r *Recorder) busyShare(v interval) float64 {
-	var busy time.Duration
+	var busyTime time.Duration
 	slots := 0
 	for _, w := range r.all() {
-		busy += w.busy(v)
+		busyTime += w.busyTime(v)
 		slots += w.slots
 	}
 	if slots == 0 || !v.to.After(v.from) {
 		return 0
 	}
-	return float64(busy) / (float64(slots) * float64(v.to.Sub(v.from)))
+	return float64(busyTime) / (float64(slots) * float64(v.to.Sub(v.from)))
 }
--- a/load/relay.go
+++ b/load/relay.go
@@ -9,16 +9,15 @@
 
 const relayBuffer = 32 << 10
 
-// Relay passes TCP connections on to a target and can be told to fail. mu guards the target, the faults and the set of
-// connections.
+// Relay forwards TCP connections to a target and injects network faults. mu guards the fields below it.
 type Relay struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string
-	cuts   int
-	losing int
-	// delay is the time by which what passes in either direction is held back.
+	mu         sync.Mutex
+	target     string
+	cuts       int
+	replyDrops int
+	// delay is added to everything that is forwarded, in either direction.
 	delay  time.Duration
 	conns  map[*relayConn]bool
 	closed bool
@@ -26,14 +25,14 @@
 
 // relayConn is one connection through a relay.
 type relayConn struct {
-	near, far net.Conn
-	silent    atomic.Bool
-	// deaf connections pass replies only.
-	deaf      atomic.Bool
-	loseReply atomic.Bool
+	client, server net.Conn
+	dropAll        atomic.Bool
+	// dropRequests discards what the client sends; replies are forwarded.
+	dropRequests atomic.Bool
+	dropReply    atomic.Bool
 }
 
-// NewRelay listens on loopback.
+// NewRelay starts a relay on a loopback address.
 func NewRelay(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -44,97 +43,97 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections.
+// Close closes the relay and its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	_ = r.listener.Close()
-	r.drop()
+	r.closeAll()
 }
 
-// SetTarget changes where new connections lead.
+// SetTarget changes the target of new connections.
 func (r *Relay) SetTarget(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = address
 }
 
-// Cut ends all connections and refuses new ones until Restore. Cuts nest.
+// Cut closes all connections and refuses new ones until Restore is called. Cuts nest.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	r.cuts++
 	r.mu.Unlock()
-	r.drop()
+	r.closeAll()
 }
 
-// Restore takes one cut back.
+// Restore reverts one call of Cut.
 func (r *Relay) Restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts--
 }
 
-// Silence makes the open connections silent for good: what is sent on them vanishes, and they stay open. New
+// Silence permanently discards what is sent on the open connections, in both directions; they stay open. New
 // connections work.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		c.silent.Store(true)
+		c.dropAll.Store(true)
 	}
 }
 
-// SilenceRequests makes the open connections silent for good towards the target; what the target sends still passes.
+// SilenceRequests permanently discards what clients send on the open connections; what the target sends is forwarded.
 func (r *Relay) SilenceRequests() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		c.deaf.Store(true)
+		c.dropRequests.Store(true)
 	}
 }
 
-// SetDelay holds back what passes from now on. Zero ends it.
+// SetDelay delays everything that is forwarded from now on; zero removes the delay.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-func (r *Relay) delayed() time.Duration {
+func (r *Relay) currentDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.delay
 }
 
-// LoseReplies drops the next reply on each connection that is open or opened until KeepReplies, and then ends the
-// connection.
+// LoseReplies discards the next reply on each connection that is open, or opened before StopLosingReplies, and then
+// closes the connection.
 func (r *Relay) LoseReplies() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.losing++
+	r.replyDrops++
 	for c := range r.conns {
-		c.loseReply.Store(true)
+		c.dropReply.Store(true)
 	}
 }
 
-// KeepReplies ends LoseReplies.
-func (r *Relay) KeepReplies() {
+// StopLosingReplies reverts one call of LoseReplies.
+func (r *Relay) StopLosingReplies() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.losing--
-	if r.losing > 0 {
+	r.replyDrops--
+	if r.replyDrops > 0 {
 		return
 	}
 	for c := range r.conns {
-		c.loseReply.Store(false)
+		c.dropReply.Store(false)
 	}
 }
 
-func (r *Relay) drop() {
+func (r *Relay) closeAll() {
 	r.mu.Lock()
 	conns := make([]*relayConn, 0, len(r.conns))
 	for c := range r.conns {
@@ -147,53 +146,53 @@
 }
 
 func (c *relayConn) close() {
-	// Either end may have closed it already.
-	_ = c.near.Close()
-	_ = c.far.Close()
+	// The peer may have closed the connection already.
+	_ = c.client.Close()
+	_ = c.server.Close()
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.open(near)
+		go r.open(client)
 	}
 }
 
-func (r *Relay) open(near net.Conn) {
+func (r *Relay) open(client net.Conn) {
 	r.mu.Lock()
 	target, refuse := r.target, r.cuts > 0 || r.closed
 	r.mu.Unlock()
 	if refuse {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &relayConn{near: near, far: far}
+	c := &relayConn{client: client, server: server}
 	r.mu.Lock()
 	refuse = r.cuts > 0 || r.closed
-	c.loseReply.Store(r.losing > 0)
+	c.dropReply.Store(r.replyDrops > 0)
 	r.conns[c] = true
 	r.mu.Unlock()
 	if refuse {
 		c.close()
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.pass(c, near, far, false) })
-	wg.Go(func() { r.pass(c, far, near, true) })
+	wg.Go(func() { r.pass(c, client, server, false) })
+	wg.Go(func() { r.pass(c, server, client, true) })
 	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-// pass copies one direction until either end closes.
+// pass copies one direction until either end closes the connection.
 func (r *Relay) pass(c *relayConn, from, to net.Conn, reply bool) {
 	defer c.close()
 	buf := make([]byte, relayBuffer)
@@ -202,13 +201,13 @@
 		if err != nil {
 			return
 		}
-		if reply && c.loseReply.Load() {
+		if reply && c.dropReply.Load() {
 			return
 		}
-		if c.silent.Load() || (c.deaf.Load() && !reply) {
+		if c.dropAll.Load() || (c.dropRequests.Load() && !reply) {
 			continue
 		}
-		if d := r.delayed(); d > 0 {
+		if d := r.currentDelay(); d > 0 {
 			time.Sleep(d)
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -1,6 +1,6 @@
 package load
 
-// Report is the outcome of a load run. The first block of fields is the interface of section 10 of the design page.
+// Report is the result of a load run. The first block of fields is the interface of section 10 of the design page.
 type Report struct {
 	Policy                     string             `json:"policy"`
 	Seed                       uint64             `json:"seed"`
@@ -21,10 +21,10 @@
 	ShortWaitP99MS             float64            `json:"short_wait_p99_ms"`
 	ShortWaitBehindLongP99MS   float64            `json:"short_wait_behind_long_p99_ms"`
 	Workload                   string             `json:"workload"`
-	CrestSlotsBusyShare        float64            `json:"crest_slots_busy_share"`
-	CrestTasksServed           int                `json:"crest_tasks_served"`
-	CrestTasksDemanded         int                `json:"crest_tasks_demanded"`
-	CrestTasksCapacity         float64            `json:"crest_tasks_capacity"`
+	PeakSlotsBusyShare         float64            `json:"crest_slots_busy_share"`
+	PeakTasksServed            int                `json:"crest_tasks_served"`
+	PeakTasksDemanded          int                `json:"crest_tasks_demanded"`
+	PeakTasksCapacity          float64            `json:"crest_tasks_capacity"`
 	ResponseRatioFastestP50    float64            `json:"response_ratio_fastest_p50"`
 	ResponseRatioFastestP99    float64            `json:"response_ratio_fastest_p99"`
 	RefusedShare               float64            `json:"refused_share"`
@@ -45,7 +45,7 @@
 	RejectedByReason           map[string]int     `json:"starts_rejected_by_reason"`
 }
 
-// Clean reports whether no invariant was broken.
+// Clean reports whether no invariant was violated.
 func (r Report) Clean() bool {
 	return r.TasksStartedTwice == 0 && r.AnswersWrong == 0 && r.AnswersMissing == 0 && r.RefusalsFalse == 0
 }
--- a/load/run.go
+++ b/load/run.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// answerPatience is added to a job's deadline and run time before its answer counts as missing.
-	answerPatience = 30 * time.Second
+	// answerSlack is added to a job's deadline and run time before its answer counts as missing.
+	answerSlack = 30 * time.Second
 	// idleTime is how long the background messages are measured before the run.
 	idleTime = 2 * time.Second
 )
 
-// Options select a load run.
+// Options configure a load run.
 type Options struct {
 	File     string
 	Workload Workload
@@ -30,8 +30,8 @@
 	Out io.Writer
 }
 
-// Run is one load run: a deployment in this process, callers, and the records of both sides. It is driven by one
-// goroutine; the parts lock their own state.
+// Run is one load run: a deployment in this process, its callers, and the records of callers and workers. It is used by
+// one goroutine; its parts have their own locks.
 type Run struct {
 	o          Options
 	workload   Workload
@@ -42,12 +42,12 @@
 	roundTrip  time.Duration
 
 	begin                      time.Time
-	before                     daemonCounters
+	startCounters              daemonCounters
 	idlePeerRate, idlePollRate float64
-	late                       []float64
+	lateness                   []float64
 }
 
-// RunLoad starts a deployment, applies the workload and returns the report and the samples for a plot.
+// RunLoad starts a deployment, applies the workload, and returns the report and the plot of the run.
 func RunLoad(ctx context.Context, o Options) (Report, *Plot, error) {
 	r := &Run{o: o, workload: o.Workload, schedule: NewSchedule(o.Workload, o.Seed), recorder: NewRecorder()}
 	if err := CheckPolicy(o.Policy); err != nil {
@@ -62,19 +62,19 @@
 	end := time.Now()
 	report := Report{Policy: o.Policy, Seed: o.Seed, Workload: o.File}
 	m := &measurement{run: r, records: records, end: end}
-	for _, v := range m.verdicts(&report) {
+	for _, v := range m.checkAnswers(&report) {
 		if _, err := fmt.Fprintln(o.Out, v); err != nil {
 			return report, nil, err
 		}
 	}
-	m.responses(&report)
-	m.crest(&report)
-	m.messages(&report)
+	m.measureResponses(&report)
+	m.measurePeak(&report)
+	m.countMessages(&report)
 	report.RunSeconds = end.Sub(r.begin).Seconds()
 	report.CPUSeconds = (cpuTime() - cpu).Seconds()
 	report.CPUCores = share(report.CPUSeconds, report.RunSeconds)
 	report.CallerRoundTripMS = millis(r.roundTrip)
-	report.GeneratorLateP99MS = quantile(r.late, 0.99)
+	report.GeneratorLateP99MS = quantile(r.lateness, 0.99)
 	r.close()
 	return report, newPlot(m), nil
 }
@@ -85,13 +85,13 @@
 	r.deployment, err = StartDeployment(DeploymentOptions{
 		Domains: d.Domains, EntryVMs: d.EntryVMs, Workers: d.Workers, Slots: d.Slots, Services: TaskServices,
 		Speed: func(n int) float64 { return r.schedule.Speeds[n-1] }, Work: TimedWork, Observer: r.recorder,
-		Added:  func(id machine.WorkerID) { r.recorder.Add(id, d.Slots) },
-		Policy: r.o.Policy, Logger: r.o.Logger,
+		OnWorkerAdded: func(id machine.WorkerID) { r.recorder.Add(id, d.Slots) },
+		Policy:        r.o.Policy, Logger: r.o.Logger,
 	})
 	if err != nil {
 		return err
 	}
-	r.callers, err = NewCallers(r.deployment.Callers(), d.SlowestSpeed, answerPatience)
+	r.callers, err = NewCallers(r.deployment.Callers(), d.SlowestSpeed, answerSlack)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return r.measureIdle(ctx)
 }
 
-// measureIdle measures the rate of messages that are sent whatever the load.
+// measureIdle measures the rates of messages that are sent regardless of the load.
 func (r *Run) measureIdle(ctx context.Context) error {
 	before, polled := r.counters(), r.recorder.totals().polled
 	select {
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// drive submits the jobs at their times without waiting for answers, and returns when all have ended.
+// drive submits each job at its arrival time without waiting for earlier answers, and returns when all jobs have ended.
 func (r *Run) drive(ctx context.Context) []*JobRecord {
 	jobs := append([]*PlannedJob(nil), r.schedule.Jobs...)
 	sort.SliceStable(jobs, func(i, j int) bool { return jobs[i].At < jobs[j].At })
 	records := make([]*JobRecord, 0, len(jobs))
-	r.before = r.counters()
+	r.startCounters = r.counters()
 	r.begin = time.Now()
 	var wg sync.WaitGroup
 	for _, j := range jobs {
@@ -128,7 +128,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r.late = append(r.late, millis(time.Since(r.begin)-j.At))
+		r.lateness = append(r.lateness, millis(time.Since(r.begin)-j.At))
 		rec := &JobRecord{Plan: j}
 		records = append(records, rec)
 		wg.Go(func() { r.callers.Run(ctx, rec) })
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -12,13 +12,13 @@
 // meanSamples is the number of jobs drawn to estimate the mean work of a job.
 const meanSamples = 4000
 
-// PlannedJob is a job as drawn by the generator.
+// PlannedJob is a job drawn by the generator.
 type PlannedJob struct {
 	Number   int
 	At       time.Duration
 	Long     bool
 	Customer string
-	// Entry numbers the entry VM that the caller uses, Other the one that a resubmission goes to.
+	// Entry is the index of the entry VM that the caller uses, Other that of the entry VM for resubmissions.
 	Entry, Other   int
 	Deadline       time.Duration
 	Tasks          []PlannedTask
@@ -26,13 +26,13 @@
 	ResubmitAfter  bool
 }
 
-// PlannedTask is a task as drawn by the generator.
+// PlannedTask is a task drawn by the generator.
 type PlannedTask struct {
 	Kind    string
 	Payload Payload
 }
 
-// Work returns the sum of the nominal run times.
+// Work returns the sum of the nominal run times of the tasks.
 func (j *PlannedJob) Work() time.Duration {
 	var sum time.Duration
 	for _, t := range j.Tasks {
@@ -41,7 +41,7 @@
 	return sum
 }
 
-// Fails reports whether a task was drawn to fail.
+// Fails reports whether any task was drawn to fail.
 func (j *PlannedJob) Fails() bool {
 	for _, t := range j.Tasks {
 		if t.Payload.Fails {
@@ -51,7 +51,7 @@
 	return false
 }
 
-// Specs returns the tasks as they are submitted.
+// Specs returns the task specifications to submit.
 func (j *PlannedJob) Specs() []contract.TaskSpec {
 	specs := make([]contract.TaskSpec, len(j.Tasks))
 	for i, t := range j.Tasks {
@@ -60,7 +60,7 @@
 	return specs
 }
 
-// Schedule is everything that the generator draws from a seed: worker speeds and jobs with their arrival times.
+// Schedule holds everything that the generator draws from a seed: worker speeds and jobs with their arrival times.
 type Schedule struct {
 	Speeds []float64
 	Jobs   []*PlannedJob
@@ -81,12 +81,12 @@
 		return (w.Demand.Level(t) - w.Long.Share) * capacity
 	})...)
 	for i, j := range s.Jobs {
-		j.number(i)
+		j.setNumber(i)
 	}
 	return s
 }
 
-// Capacity returns the nominal work that all workers do in a second, in seconds.
+// Capacity returns the nominal work that all workers together perform per second, in seconds.
 func (s *Schedule) Capacity(w Workload) float64 {
 	sum := 0.0
 	for _, v := range s.Speeds {
@@ -104,7 +104,7 @@
 	return fastest
 }
 
-func (j *PlannedJob) number(n int) {
+func (j *PlannedJob) setNumber(n int) {
 	j.Number = n
 	for i := range j.Tasks {
 		j.Tasks[i].Payload.Identity = fmt.Sprintf("job-%d/%d", n, i)
@@ -117,7 +117,7 @@
 	rng *rand.Rand
 }
 
-// arrivals draws a Poisson process whose rate makes the given work per second, by thinning.
+// arrivals draws a Poisson process by thinning; work returns the work per second that arrives at a time of the run.
 func (g *generator) arrivals(long bool, work func(time.Duration) float64) []*PlannedJob {
 	mean := g.meanWork(long)
 	end := time.Duration(g.w.Duration)
@@ -180,7 +180,7 @@
 	return j
 }
 
-// entryOf spreads callers over entry VMs with the workload's skew; a caller keeps its entry VM.
+// entryOf distributes callers over entry VMs with the workload's skew; a caller always uses the same entry VM.
 func (g *generator) entryOf(caller, vms int) int {
 	total := 0.0
 	for n := range vms {
@@ -219,7 +219,7 @@
 	return PlannedTask{Kind: kind, Payload: p}
 }
 
-// wrongKind declares long work as short and the other way round.
+// wrongKind returns a kind that declares long work as short, or short work as long.
 func (g *generator) wrongKind(long bool) string {
 	if long {
 		return shortKinds[g.rng.IntN(len(shortKinds))]
--- a/load/schema.go
+++ b/load/schema.go
@@ -17,13 +17,14 @@
 	kindReport  = "Report"
 )
 
-// shortKinds are the request kinds of short work, in the order in which they are drawn.
+// shortKinds are the request kinds of short work. Random draws index this list, so that its order is part of a seed's
+// run.
 var shortKinds = [...]string{"Quote", "Order", "Confirm"}
 
-// stoppableKinds may be stopped when they straggle, so that their slot serves other work.
-func stoppableKind(kind string) bool { return kind == "Quote" || kind == kindReport }
+// isStoppable reports whether a straggling task of a kind may be stopped, so that its slot serves other work.
+func isStoppable(kind string) bool { return kind == "Quote" || kind == kindReport }
 
-// TaskServices reads the schema file of the load tool.
+// TaskServices returns the services of the built-in schema file.
 func TaskServices() []*backend.Service {
 	services, findings := schema.Load(schema.Source{schemaFile: loadSchema}, schemaFile)
 	if len(findings) > 0 {
--- a/load/soak.go
+++ b/load/soak.go
@@ -25,31 +25,32 @@
 	soakWorkers = 4 // per failure domain
 	soakSlots   = 4
 	soakCallers = 32
-	// answerBound is the time after the end of all faults within which every caller has its final answer. It covers the
-	// job's deadline, the time until a lost VM counts as gone and the time for which a lost worker is asked.
+	// answerBound is the time after the end of all faults within which every caller must have its final answer. It covers
+	// the job's deadline, the time until a lost VM counts as gone and the time for which a lost worker is polled.
 	answerBound = 20 * time.Second
-	// leaveBound is the time after which a worker shown as leaving gets no start.
+	// leaveBound is the time after which a worker that was listed as leaving must not get a start.
 	leaveBound = 3 * time.Second
-	// stopBound is the time within which a planned stop has to end.
+	// stopBound is the time within which a planned stop must complete.
 	stopBound = 65 * time.Second
 )
 
-// identifiers match what differs between two texts of the same cause.
+// identifiers matches the ids and addresses in which details of the same cause differ.
 var identifiers = regexp.MustCompile(`(entry|worker|j)-[0-9a-f.-]+|127\.0\.0\.1:[0-9]+|[0-9a-f]{16}`)
 
-// SoakOptions select a randomised run.
+// SoakOptions configure a randomised run.
 type SoakOptions struct {
 	Seed     uint64
 	Duration time.Duration
 	Entries  int
-	// Faults limits the fault kinds; none means all.
+	// Faults limits the fault kinds; empty means all.
 	Faults []string
-	// Dir receives the daemons' settings and logs and the times of the faults; a temporary one is used if empty.
+	// Dir receives the daemons' settings and logs and the times of the faults; if empty, a temporary directory is used.
 	Dir string
 	Out io.Writer
 }
 
-// SoakReport is the outcome of a randomised run. The first block is the interface of section 10 of the design page.
+// SoakReport is the result of a randomised run. The first block of fields is the interface of section 10 of the design
+// page.
 type SoakReport struct {
 	Seed            uint64         `json:"seed"`
 	TasksStarted    int            `json:"tasks_started"`
@@ -69,26 +70,26 @@
 	RunSeconds      float64        `json:"run_seconds"`
 }
 
-// soakWorker is a worker stand-in of a soak run. The run's mu guards the flags.
+// soakWorker is a worker stand-in of a soak run. The mu of the run guards the flags.
 type soakWorker struct {
 	worker  *standin.Worker
 	domain  zone.DomainID
 	busy    bool
 	crashed bool
-	gone    bool
+	removed bool
 }
 
-// Soak is one randomised run: entry daemons as child processes, workers and platform in this process, and relays
-// between them. mu guards the fields below it; the parts lock their own state.
+// Soak is one randomised run: entry daemons as child processes, workers and the platform stand-in in this process, and
+// relays between them. mu guards the fields below it; the other parts have their own locks.
 type Soak struct {
 	o        SoakOptions
 	dir      string
 	platform *standin.Platform
-	roster   *Roster
+	vmList   *VMList
 	network  *Network
 	recorder *Recorder
-	gateways *Gateways
-	// addresses are those of the daemons.
+	clients  *Clients
+	// addresses allocates the addresses of the daemons.
 	addresses *Addresses
 	begin     time.Time
 	faults    sync.WaitGroup
@@ -98,36 +99,41 @@
 	entries []*EntryProcess
 	nextVM  int
 	nextJob int
-	shown   map[string]map[string]time.Time
-	homes   map[machine.Incarnation]*EntryProcess
-	stopped map[machine.Incarnation]time.Time
-	crashed map[machine.Incarnation]time.Time
-	// losses are the times at which entry VMs of a failure domain were killed or paused.
-	losses   map[zone.DomainID][]time.Time
-	injected map[string]int
-	checks   map[string]int
-	broken   map[string]int
-	records  []*JobRecord
-	wave     chan struct{}
-	// logFault holds the failures of the log in effect, the oldest first.
-	logFault []func(*standin.PlatformFaults)
-	finish   time.Time
-	// history names the faults with their times, for the file that is kept beside the daemons' logs.
-	history []string
-	// fenced counts the daemons that ended because the others counted them as gone.
+	// leavingShown holds, for each entry VM, when it was first shown that a VM is leaving.
+	leavingShown map[string]map[string]time.Time
+	// homeProcess holds the process of each incarnation that has assigned a job id; stopped and crashed hold the times at
+	// which such incarnations were stopped as planned or lost.
+	homeProcess map[machine.Incarnation]*EntryProcess
+	stopped     map[machine.Incarnation]time.Time
+	crashed     map[machine.Incarnation]time.Time
+	// outages are the times at which entry VMs of a failure domain were lost or paused.
+	outages      map[zone.DomainID][]time.Time
+	injected     map[string]int
+	checks       map[string]int
+	violations   map[string]int
+	records      []*JobRecord
+	cancelSignal chan struct{}
+	// logFaultsInEffect are the faults of the platform's log in effect, the oldest first.
+	logFaultsInEffect []func(*standin.PlatformFaults)
+	answersDue        time.Time
+	// faultLog lists the faults with their times for the file faults.log, which is kept beside the daemons' logs.
+	faultLog []string
+	// fenced counts the daemons that exited because the other entry VMs counted them as gone.
 	fenced int
 }
 
-// RunSoak performs a randomised run.
+// RunSoak executes a randomised run and returns its report.
 func RunSoak(o SoakOptions) (SoakReport, error) {
 	s := &Soak{
-		o: o, roster: NewRoster(), network: NewNetwork(), recorder: NewRecorder(), gateways: NewGateways(), addresses: NewAddresses("127.0.0.1"),
-		shown: make(map[string]map[string]time.Time), homes: make(map[machine.Incarnation]*EntryProcess),
+		o: o, vmList: NewVMList(), network: NewNetwork(), recorder: NewRecorder(), clients: NewClients(),
+		addresses:    NewAddresses("127.0.0.1"),
+		leavingShown: make(map[string]map[string]time.Time), homeProcess: make(map[machine.Incarnation]*EntryProcess),
 		stopped: make(map[machine.Incarnation]time.Time), crashed: make(map[machine.Incarnation]time.Time),
-		losses:   make(map[zone.DomainID][]time.Time),
-		injected: make(map[string]int), checks: make(map[string]int), broken: make(map[string]int), wave: make(chan struct{}), begin: time.Now(),
+		outages:  make(map[zone.DomainID][]time.Time),
+		injected: make(map[string]int), checks: make(map[string]int), violations: make(map[string]int),
+		cancelSignal: make(chan struct{}), begin: time.Now(),
 	}
-	s.recorder.seen = s.sawStart
+	s.recorder.onStart = s.checkStart
 	cpu := cpuTime()
 	defer s.close()
 	if err := s.start(); err != nil {
@@ -138,7 +144,7 @@
 		return SoakReport{}, err
 	}
 	s.drive(operators)
-	operators.settle()
+	operators.checkInEffect()
 	s.readAllInvariants()
 	s.checkJobs()
 	r := s.report()
@@ -200,7 +206,7 @@
 	s.mu.Lock()
 	s.workers = append(s.workers, &soakWorker{worker: w, domain: domain})
 	s.mu.Unlock()
-	s.roster.Set(platform.VM{
+	s.vmList.Set(platform.VM{
 		ID: string(id), Kind: platform.KindWorker, Domain: domain, Address: w.Address(), Service: serviceName,
 		Slots: soakSlots,
 	})
@@ -209,7 +215,7 @@
 
 func (s *Soak) addEntry(domain zone.DomainID) error {
 	id := s.nextID("entry", domain)
-	view, err := NewView(id, s.roster, s.network, s.sawLeaving)
+	server, err := NewVMListServer(id, s.vmList, s.network, s.recordLeavingShown)
 	if err != nil {
 		return err
 	}
@@ -218,13 +224,13 @@
 		return err
 	}
 	p, err := NewEntryProcess(EntrySetup{
-		ID: id, Domain: domain, Dir: s.dir, Schema: s.schemaPath(), Log: logs.Address(), Slots: soakSlots, View: view, Addresses: s.addresses,
-		LogLevel: "info", Ended: s.restart,
+		ID: id, Domain: domain, Dir: s.dir, Schema: s.schemaPath(), Log: logs.Address(), Slots: soakSlots,
+		VMListServer: server, Addresses: s.addresses, LogLevel: "info", OnExit: s.restart,
 	})
 	if err != nil {
 		return err
 	}
-	s.roster.Set(p.VM())
+	s.vmList.Set(p.VM())
 	if err := p.Start(); err != nil {
 		return err
 	}
@@ -234,129 +240,134 @@
 	return nil
 }
 
-// drive runs callers and faults for the duration, ends all faults and waits for the last answers.
+// drive runs callers and faults for the duration, waits until all faults have ended and then for the last answers.
 func (s *Soak) drive(operators *operators) {
 	end := time.Now().Add(s.o.Duration)
 	s.mu.Lock()
-	// Moved forward when all faults have ended.
-	s.finish = end.Add(time.Hour)
+	// Brought forward to the actual time when all faults have ended.
+	s.answersDue = end.Add(time.Hour)
 	s.mu.Unlock()
 	var callers sync.WaitGroup
 	for n := range soakCallers {
-		callers.Go(func() { s.call(rand.New(rand.NewPCG(s.o.Seed, uint64(n)+100)), end) })
+		callers.Go(func() { s.runCaller(rand.New(rand.NewPCG(s.o.Seed, uint64(n)+100)), end) })
 	}
 	callers.Go(func() { operators.run(rand.New(rand.NewPCG(s.o.Seed, 3)), end) })
 	s.inject(rand.New(rand.NewPCG(s.o.Seed, 2)), end)
 	s.faults.Wait()
 	s.mu.Lock()
-	s.finish = time.Now().Add(answerBound)
+	s.answersDue = time.Now().Add(answerBound)
 	s.mu.Unlock()
 	callers.Wait()
 }
 
-func (s *Soak) bound() time.Time {
+func (s *Soak) answerDeadline() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.finish
+	return s.answersDue
 }
 
-// violate prints and counts a violation.
-func (s *Soak) violate(v Violation) {
+// reportViolation counts and prints a violation.
+func (s *Soak) reportViolation(v Violation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken[v.Check]++
-	// A failure to print must not hide the count.
+	s.violations[v.Check]++
+	// A write error does not affect the count of violations.
 	_, _ = fmt.Fprintf(s.o.Out, "start %d, seed %d, %.3f s: %s\n", s.checks[CheckStartedOnce], s.o.Seed,
 		v.At.Sub(s.begin).Seconds(), v)
 }
 
-func (s *Soak) checked(name string, n int) {
+func (s *Soak) countChecks(name string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checks[name] += n
 }
 
-// sawLeaving records when a list that shows a VM as leaving was handed to an entry VM.
-func (s *Soak) sawLeaving(vm, leaving string) {
+// recordLeavingShown records when a list in which a VM is leaving was first sent to an entry VM.
+func (s *Soak) recordLeavingShown(vm, leaving string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shown[vm] == nil {
-		s.shown[vm] = make(map[string]time.Time)
+	if s.leavingShown[vm] == nil {
+		s.leavingShown[vm] = make(map[string]time.Time)
 	}
-	if _, ok := s.shown[vm][leaving]; !ok {
-		s.shown[vm][leaving] = time.Now()
+	if _, ok := s.leavingShown[vm][leaving]; !ok {
+		s.leavingShown[vm][leaving] = time.Now()
 	}
 }
 
-// sawStart checks each start as it happens.
-func (s *Soak) sawStart(st standin.Start, p Payload, task, same TaskStart) {
-	s.checked(CheckStartedOnce, 1)
+// checkStart checks each start when the worker records it.
+func (s *Soak) checkStart(st standin.Start, p Payload, byTask, byIdentity TaskStart) {
+	s.countChecks(CheckStartedOnce, 1)
 	id, _ := contract.ParseTaskID(st.Task)
-	if task.Count > 1 || same.Count > 1 {
-		s.violate(Violation{Check: CheckStartedOnce, Job: id.Job.String(), Task: st.Task, At: st.At, Seen: fmt.Sprintf(
-			"start number %d of this task id and %d of %s, on %s; first at %s on %s", task.Count, same.Count, p.Identity,
-			st.Worker, same.First.Format(time.RFC3339Nano), same.Worker)})
+	if byTask.Count > 1 || byIdentity.Count > 1 {
+		s.reportViolation(Violation{
+			Check: CheckStartedOnce, Job: id.Job.String(), Task: st.Task, At: st.At, Observed: fmt.Sprintf(
+				"start number %d of this task id and %d of %s, on %s; first at %s on %s", byTask.Count, byIdentity.Count,
+				p.Identity, st.Worker, byIdentity.First.Format(time.RFC3339Nano), byIdentity.Worker),
+		})
 	}
 	s.mu.Lock()
-	home := s.homes[id.Job.Home]
-	var shown time.Time
+	home := s.homeProcess[id.Job.Home]
+	var leavingShown time.Time
 	if home != nil {
-		shown = s.shown[home.ID][string(st.Worker)]
+		leavingShown = s.leavingShown[home.ID][string(st.Worker)]
 	}
 	s.mu.Unlock()
-	if shown.IsZero() {
+	if leavingShown.IsZero() {
 		return
 	}
-	s.checked(CheckLeavingNoStarts, 1)
-	if late := st.At.Sub(shown); late > leaveBound {
-		s.violate(Violation{Check: CheckLeavingNoStarts, Job: id.Job.String(), Task: st.Task, At: st.At, Seen: fmt.Sprintf(
-			"started on %s %s after %s was shown that it leaves", st.Worker, late, home.ID)})
+	s.countChecks(CheckNoStartOnLeaving, 1)
+	if late := st.At.Sub(leavingShown); late > leaveBound {
+		s.reportViolation(Violation{
+			Check: CheckNoStartOnLeaving, Job: id.Job.String(), Task: st.Task, At: st.At, Observed: fmt.Sprintf(
+				"started on %s %s after %s was shown that it is leaving", st.Worker, late, home.ID),
+		})
 	}
 }
 
-// progressOf asks the home of a job what it knows of it.
+// progressOf describes the progress of a job as its home reports it.
 func (s *Soak) progressOf(rec *JobRecord) string {
 	s.mu.Lock()
-	home := s.homes[rec.ID.Home]
+	home := s.homeProcess[rec.ID.Home]
 	s.mu.Unlock()
 	if home == nil {
-		return "home not asked"
+		return "home not contacted"
 	}
-	client, err := s.gateways.Client(home.Callers)
+	client, err := s.clients.Client(home.Callers)
 	if err != nil {
-		return "home not asked: " + err.Error()
+		return "home not contacted: " + err.Error()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	p, err := client.Status(ctx, rec.Ref())
 	if err != nil {
-		return "home does not say: " + err.Error()
+		return "home returned no status: " + err.Error()
 	}
-	return fmt.Sprintf("home has %d of %d tasks finished, %d running, %d waiting, verdict %q", p.Finished, p.Tasks, p.Running,
-		p.Waiting, p.Verdict)
+	return fmt.Sprintf("home reports %d of %d tasks finished, %d running, %d waiting, verdict %q", p.Finished, p.Tasks,
+		p.Running, p.Waiting, p.Verdict)
 }
 
-// learn records which process minted a job id.
-func (s *Soak) learn(id contract.JobID, p *EntryProcess) {
+// recordHome records the process that assigned a job id.
+func (s *Soak) recordHome(id contract.JobID, p *EntryProcess) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.homes[id.Home] = p
+	s.homeProcess[id.Home] = p
 }
 
 func (s *Soak) checkJobs() {
 	checker := Checker{Ledger: s.recorder.Ledger}
 	for _, rec := range s.jobs() {
 		for _, v := range checker.Check(rec) {
-			s.violate(v)
+			s.reportViolation(v)
 		}
-		s.checked(CheckAnswerArrives, 1)
-		if _, ok := rec.First(); !ok {
-			s.violate(rec.violation(CheckAnswerArrives, -1, rec.last(), fmt.Sprintf("no final answer after %d attempts, home %s, "+
-				"last error %v, %s", len(rec.Attempts()), s.fate(rec.ID.Home), rec.last().Err, s.progressOf(rec))))
+		s.countChecks(CheckAnswerArrives, 1)
+		if _, ok := rec.FirstFinal(); !ok {
+			s.reportViolation(rec.violation(CheckAnswerArrives, -1, rec.last(), fmt.Sprintf(
+				"no final answer after %d attempts, home %s, "+
+					"last error %v, %s", len(rec.Attempts()), s.describeHome(rec.ID.Home), rec.last().Err, s.progressOf(rec))))
 			continue
 		}
-		for _, name := range []string{CheckAnswerWhole, CheckResultsRight, CheckNotRunTrue, CheckNoLateStart} {
-			s.checked(name, 1)
+		for _, name := range []string{CheckAnswerComplete, CheckResultsCorrect, CheckNotRunAccurate, CheckNoLateStart} {
+			s.countChecks(name, 1)
 		}
 		for _, a := range rec.Attempts() {
 			s.checkStop(rec, a)
@@ -364,38 +375,39 @@
 	}
 }
 
-// checkStop checks that a planned stop left no task of its jobs without an outcome. It is excused when the worker crashed
-// or was taken off the list, so that it could not be asked, and when an entry VM of the failure domain was lost after the
-// stop began, which may be the successor with the jobs that it took over.
+// checkStop checks that a planned stop left no task of its jobs without a known outcome. It skips tasks whose worker
+// crashed or was removed from the list and so could not be polled. It also skips jobs if an entry VM of the failure
+// domain was lost or paused after the stop began, since that VM may be the successor that took over the jobs.
 func (s *Soak) checkStop(rec *JobRecord, a Attempt) {
 	s.mu.Lock()
 	begin, stopped := s.stopped[rec.ID.Home]
-	for _, at := range s.losses[rec.ID.Domain] {
+	for _, at := range s.outages[rec.ID.Domain] {
 		stopped = stopped && (at.Before(begin) || at.After(a.Received))
 	}
 	crashed := make(map[machine.WorkerID]bool)
 	for _, w := range s.workers {
-		crashed[w.worker.ID()] = w.crashed || w.gone
+		crashed[w.worker.ID()] = w.crashed || w.removed
 	}
 	s.mu.Unlock()
 	if !stopped {
 		return
 	}
-	s.checked(CheckStopCutsNothing, 1)
+	s.countChecks(CheckStopCutsNothing, 1)
 	for i, r := range a.Answer.Reports {
 		st := s.recorder.Ledger.Identity(rec.Plan.Tasks[i].Payload.Identity)
 		// A start may be in doubt at a worker that crashed before it recorded the start.
 		if r.Outcome == contract.OutcomeUnknown && !crashed[st.Worker] && !crashed[machine.WorkerID(r.Worker)] {
-			s.violate(rec.violation(CheckStopCutsNothing, i, a, "planned stop of the home left the outcome unknown: "+r.Detail))
+			s.reportViolation(rec.violation(CheckStopCutsNothing, i, a,
+				"outcome unknown after a planned stop of the home: "+r.Detail))
 		}
 	}
 }
 
-// fate names the process that minted an id and says how it ended.
-func (s *Soak) fate(inc machine.Incarnation) string {
+// describeHome names the process that assigned a job id and how it ended.
+func (s *Soak) describeHome(inc machine.Incarnation) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch home := s.homes[inc]; {
+	switch home := s.homeProcess[inc]; {
 	case home == nil:
 		return "unknown"
 	case !s.crashed[inc].IsZero():
@@ -426,7 +438,7 @@
 	r.TasksStarted, _ = s.recorder.Ledger.Totals()
 	for _, rec := range s.jobs() {
 		r.JobsSubmitted++
-		first, ok := rec.First()
+		first, ok := rec.FirstFinal()
 		switch {
 		case !ok:
 			r.AnswersMissing++
@@ -440,15 +452,15 @@
 		for _, t := range first.Answer.Reports {
 			if t.Outcome == contract.OutcomeUnknown {
 				r.TasksUnknown++
-				r.UnknownBy[identifiers.ReplaceAllString(s.fate(rec.ID.Home)+": "+t.Detail, "*")]++
+				r.UnknownBy[identifiers.ReplaceAllString(s.describeHome(rec.ID.Home)+": "+t.Detail, "*")]++
 			}
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.DaemonsFenced = s.fenced
-	r.FaultsInjected, r.InvariantChecks, r.ViolationsBy = s.injected, s.checks, s.broken
-	for _, n := range s.broken {
+	r.FaultsInjected, r.InvariantChecks, r.ViolationsBy = s.injected, s.checks, s.violations
+	for _, n := range s.violations {
 		r.Violations += n
 	}
 	return r
@@ -468,10 +480,10 @@
 		}
 	}
 	wg.Wait()
-	s.gateways.Close()
+	s.clients.Close()
 	s.network.Close()
 	for _, w := range workers {
-		// A worker that has left is closed already.
+		// A worker that was removed may be closed already.
 		wg.Go(func() { _ = w.worker.Close() })
 	}
 	if s.platform != nil {
@@ -480,13 +492,13 @@
 	wg.Wait()
 	if s.o.Dir != "" {
 		s.mu.Lock()
-		text := strings.Join(s.history, "\n") + "\n"
+		text := strings.Join(s.faultLog, "\n") + "\n"
 		s.mu.Unlock()
-		// The file helps to follow a violation; the run's outcome does not depend on it.
+		// The file helps to investigate a violation; an error does not affect the result of the run.
 		_ = os.WriteFile(filepath.Join(s.dir, "faults.log"), []byte(text), 0o600)
 	}
 	if s.o.Dir == "" && s.dir != "" {
-		// The directory is temporary; what cannot be removed is left to the system.
+		// The directory is temporary; files that cannot be removed are left to the system.
 		_ = os.RemoveAll(s.dir)
 	}
 }
--- a/load/soak_test.go
+++ b/load/soak_test.go
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a soak run that injects nothing, checks nothing, or sees violations where faults must leave none.
+// Guards against a soak run that injects no faults, performs no checks, or reports violations of a correct dispatcher.
 func TestShortSoakRunIsClean(t *testing.T) {
 	var out bytes.Buffer
 	kinds := []string{"cancellation_wave", "worker_slow", "worker_fails_all", "log_outage", "list_outage", "peer_cut"}
@@ -39,15 +39,17 @@
 	for _, k := range kinds {
 		require.Positive(t, r.FaultsInjected[k], k)
 	}
-	for _, c := range []string{load.CheckStartedOnce, load.CheckResultsRight, load.CheckNotRunTrue, load.CheckAnswerArrives} {
+	for _, c := range []string{
+		load.CheckStartedOnce, load.CheckResultsCorrect, load.CheckNotRunAccurate, load.CheckAnswerArrives,
+	} {
 		require.Positive(t, r.InvariantChecks[c], c)
 	}
 	require.Zero(t, r.Violations, out.String())
 	require.Zero(t, r.AnswersMissing)
 }
 
-// echo answers every message with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns every message, and returns its address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -63,17 +65,17 @@
 	return l.Addr().String()
 }
 
-// opened returns a connection through the relay on which a message has passed.
-func opened(t *testing.T, r *load.Relay) net.Conn {
+// dialRelay opens a connection through the relay and checks that a message passes.
+func dialRelay(t *testing.T, r *load.Relay) net.Conn {
 	c, err := net.Dial("tcp", r.Address())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	require.True(t, passes(c))
+	require.True(t, roundTrips(c))
 	return c
 }
 
-// passes reports whether a message comes back. It waits for the end of the connection at most.
-func passes(c net.Conn) bool {
+// roundTrips reports whether a message comes back. It returns false when the connection is closed.
+func roundTrips(c net.Conn) bool {
 	if _, err := c.Write([]byte("x")); err != nil {
 		return false
 	}
@@ -81,28 +83,28 @@
 	return err == nil
 }
 
-// Guards against relays that do not fail as told, which would make the soak run prove nothing.
+// Guards against relays that do not inject the requested faults, which would invalidate soak runs.
 func TestRelayFaults(t *testing.T) {
-	r, err := load.NewRelay(echo(t))
+	r, err := load.NewRelay(startEchoServer(t))
 	require.NoError(t, err)
 	defer r.Close()
 
-	c := opened(t, r)
+	c := dialRelay(t, r)
 	r.Cut()
-	require.False(t, passes(c))
+	require.False(t, roundTrips(c))
 	refused, err := net.Dial("tcp", r.Address())
 	require.NoError(t, err)
-	require.False(t, passes(refused))
+	require.False(t, roundTrips(refused))
 	r.Restore()
 
-	c = opened(t, r)
+	c = dialRelay(t, r)
 	r.LoseReplies()
-	require.False(t, passes(c))
-	r.KeepReplies()
+	require.False(t, roundTrips(c))
+	r.StopLosingReplies()
 
-	c = opened(t, r)
+	c = dialRelay(t, r)
 	r.Silence()
-	opened(t, r)
+	dialRelay(t, r)
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
--- a/load/soakcaller.go
+++ b/load/soakcaller.go
@@ -13,61 +13,61 @@
 
 const (
 	soakMostTasks = 8
-	// keyedOneIn is the share of jobs that are submitted under a caller's own key; the log bounds their rate.
+	// One in keyedOneIn jobs is submitted under a key of the caller; the log's append rate limits their number.
 	keyedOneIn = 12
-	// attemptTimeout is how long a caller waits at one entry VM before it turns to another.
+	// attemptTimeout is how long a caller waits for one entry VM before it tries another.
 	attemptTimeout = 3 * time.Second
-	// patienceForNext is how long a caller waits for an answer before it submits its next job beside it.
-	patienceForNext = 200 * time.Millisecond
-	longestAfter    = 6 * time.Second
-	attemptPause    = 100 * time.Millisecond
-	soakDeadline    = 8 * time.Second
+	// nextJobDelay is how long a caller waits for an answer before it submits its next job in parallel.
+	nextJobDelay     = 200 * time.Millisecond
+	maxResubmitDelay = 6 * time.Second
+	attemptPause     = 100 * time.Millisecond
+	soakDeadline     = 8 * time.Second
 )
 
-// Gateways holds one client per address of an entry VM. mu guards the map.
-type Gateways struct {
+// Clients holds one client per address of an entry VM. mu guards the fields below it.
+type Clients struct {
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
-	// former are clients that calls in progress may still use.
-	former []*rpc.Client
+	// dropped are removed clients that calls in progress may still use.
+	dropped []*rpc.Client
 }
 
-// NewGateways returns an empty set.
-func NewGateways() *Gateways { return &Gateways{clients: make(map[string]*rpc.Client)} }
+// NewClients returns an empty set of clients.
+func NewClients() *Clients { return &Clients{clients: make(map[string]*rpc.Client)} }
 
-// Client returns the client of an address.
-func (g *Gateways) Client(address string) (*rpc.Client, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if c, ok := g.clients[address]; ok {
+// Client returns the client of an address, which it creates if needed.
+func (s *Clients) Client(address string) (*rpc.Client, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c, ok := s.clients[address]; ok {
 		return c, nil
 	}
 	c, err := rpc.NewClient([]string{address}, nil)
 	if err == nil {
-		g.clients[address] = c
+		s.clients[address] = c
 	}
 	return c, err
 }
 
-// Forget drops the client of an address with the job ids that it has fetched ahead: the process that minted them has
-// ended, and jobs submitted under them would only be answered as lost.
-func (g *Gateways) Forget(address string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if c, ok := g.clients[address]; ok {
-		g.former = append(g.former, c)
-		delete(g.clients, address)
+// Drop removes the client of an address together with its prefetched job ids: the process that assigned them has ended,
+// and jobs submitted under them would only be answered as lost.
+func (s *Clients) Drop(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c, ok := s.clients[address]; ok {
+		s.dropped = append(s.dropped, c)
+		delete(s.clients, address)
 	}
 }
 
-// Close ends all connections.
-func (g *Gateways) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, c := range g.former {
+// Close closes all connections.
+func (s *Clients) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.dropped {
 		c.Close()
 	}
-	for _, c := range g.clients {
+	for _, c := range s.clients {
 		c.Close()
 	}
 }
@@ -75,21 +75,22 @@
 // soakJob is a job of a soak run with the caller's behaviour, drawn before the job is submitted.
 type soakJob struct {
 	record *JobRecord
-	// first and others choose among the entry VMs that serve at the time.
-	first         uint64
-	others        []uint64
-	during, after bool
-	duringDelay   time.Duration
-	// afterDelay lets the home end before the resubmission in some cases.
-	afterDelay  time.Duration
-	cancelAfter time.Duration
-	joinsWave   bool
-	// keyed submits under a key of the caller, to two entry VMs at once.
+	// firstPick and otherPicks select among the entry VMs that are in service at the time.
+	firstPick                     uint64
+	otherPicks                    []uint64
+	resubmitDuring, resubmitAfter bool
+	duringDelay                   time.Duration
+	// afterDelay delays the resubmission, so that in some cases the home has ended before it.
+	afterDelay   time.Duration
+	cancelAfter  time.Duration
+	inCancelWave bool
+	// keyed jobs are submitted under a key of the caller, to two entry VMs at once.
 	keyed bool
 }
 
-// call submits jobs until end, one after the other while answers arrive in time, and returns when all have ended.
-func (s *Soak) call(rng *rand.Rand, end time.Time) {
+// runCaller submits jobs until end and returns when all have ended. It waits up to nextJobDelay for each answer before
+// it submits the next job.
+func (s *Soak) runCaller(rng *rand.Rand, end time.Time) {
 	var jobs sync.WaitGroup
 	for time.Now().Before(end) {
 		j := s.drawJob(rng)
@@ -100,7 +101,7 @@
 		})
 		select {
 		case <-done:
-		case <-time.After(patienceForNext):
+		case <-time.After(nextJobDelay):
 		}
 	}
 	jobs.Wait()
@@ -123,30 +124,31 @@
 		plan.Tasks = append(plan.Tasks, PlannedTask{Kind: kind, Payload: p})
 	}
 	j := &soakJob{
-		record: &JobRecord{Plan: plan}, first: rng.Uint64(), during: rng.IntN(10) == 0, after: rng.IntN(10) == 0,
-		duringDelay: time.Duration(rng.Int64N(int64(60 * time.Millisecond))), joinsWave: rng.IntN(3) > 0,
+		record: &JobRecord{Plan: plan}, firstPick: rng.Uint64(),
+		resubmitDuring: rng.IntN(10) == 0, resubmitAfter: rng.IntN(10) == 0,
+		duringDelay: time.Duration(rng.Int64N(int64(60 * time.Millisecond))), inCancelWave: rng.IntN(3) > 0,
 	}
 	if rng.IntN(2) == 0 {
-		j.afterDelay = time.Duration(rng.Int64N(int64(longestAfter)))
+		j.afterDelay = time.Duration(rng.Int64N(int64(maxResubmitDelay)))
 	}
 	for range 4 {
-		j.others = append(j.others, rng.Uint64())
+		j.otherPicks = append(j.otherPicks, rng.Uint64())
 	}
 	if rng.IntN(keyedOneIn) == 0 {
-		j.keyed, j.during, j.duringDelay = true, true, 0
+		j.keyed, j.resubmitDuring, j.duringDelay = true, true, 0
 	}
 	if rng.IntN(20) == 0 {
 		j.cancelAfter = time.Millisecond + time.Duration(rng.Int64N(int64(50*time.Millisecond)))
 	}
 	s.mu.Lock()
-	plan.number(s.nextJob)
+	plan.setNumber(s.nextJob)
 	s.nextJob++
 	s.mu.Unlock()
 	return j
 }
 
-// choose returns one of the entry VMs that serve.
-func (s *Soak) choose(pick uint64) *EntryProcess {
+// pickServing returns one of the entry VMs in service.
+func (s *Soak) pickServing(pick uint64) *EntryProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var serving []*EntryProcess
@@ -158,11 +160,11 @@
 	return serving[pick%uint64(len(serving))]
 }
 
-// mint fetches a job id from an entry VM that answers.
-func (s *Soak) mint(j *soakJob, end time.Time) bool {
+// fetchID fetches a job id, trying entry VMs until one answers.
+func (s *Soak) fetchID(j *soakJob, end time.Time) bool {
 	for n := uint64(0); time.Now().Before(end); n++ {
-		p := s.choose(j.first + n)
-		client, err := s.gateways.Client(p.Callers)
+		p := s.pickServing(j.firstPick + n)
+		client, err := s.clients.Client(p.Callers)
 		if err != nil {
 			continue
 		}
@@ -171,7 +173,7 @@
 		cancel()
 		if err == nil {
 			j.record.ID = id
-			s.learn(id, p)
+			s.recordHome(id, p)
 			s.mu.Lock()
 			s.records = append(s.records, j.record)
 			s.mu.Unlock()
@@ -182,10 +184,10 @@
 	return false
 }
 
-// name gives a job its id or key and adds it to the records.
-func (s *Soak) name(j *soakJob, end time.Time) bool {
+// identify assigns a job its id or key and adds it to the records.
+func (s *Soak) identify(j *soakJob, end time.Time) bool {
 	if !j.keyed {
-		return s.mint(j, end)
+		return s.fetchID(j, end)
 	}
 	j.record.Key = &contract.CallerKey{
 		Customer: j.record.Plan.Customer, Text: fmt.Sprintf("%d-%d", s.o.Seed, j.record.Plan.Number),
@@ -198,32 +200,32 @@
 	return true
 }
 
-// runJob submits a job until its final answer arrives or the bound has passed.
+// runJob submits a job until its final answer arrives or the answer deadline has passed.
 func (s *Soak) runJob(j *soakJob, end time.Time) {
-	if !s.name(j, end) {
+	if !s.identify(j, end) {
 		return
 	}
-	var side sync.WaitGroup
-	over := make(chan struct{})
-	if j.during {
-		side.Go(func() {
+	var background sync.WaitGroup
+	done := make(chan struct{})
+	if j.resubmitDuring {
+		background.Go(func() {
 			time.Sleep(j.duringDelay)
-			s.attempt(j.record, s.choose(j.others[0]))
+			s.attempt(j.record, s.pickServing(j.otherPicks[0]))
 		})
 	}
-	side.Go(func() { s.cancelJob(j, over) })
+	background.Go(func() { s.cancelJob(j, done) })
 	for n := uint64(0); ; n++ {
-		if s.attempt(j.record, s.choose(j.first+n)) || time.Now().After(s.bound()) {
+		if s.attempt(j.record, s.pickServing(j.firstPick+n)) || time.Now().After(s.answerDeadline()) {
 			break
 		}
 		time.Sleep(attemptPause)
 	}
-	close(over)
-	if j.after {
+	close(done)
+	if j.resubmitAfter {
 		time.Sleep(j.afterDelay)
-		s.attempt(j.record, s.choose(j.others[1]))
+		s.attempt(j.record, s.pickServing(j.otherPicks[1]))
 	}
-	side.Wait()
+	background.Wait()
 }
 
 // attempt submits a job to one entry VM and reports whether the answer is final.
@@ -231,7 +233,7 @@
 	a := Attempt{Entry: p.ID, Sent: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	client, err := s.gateways.Client(p.Callers)
+	client, err := s.clients.Client(p.Callers)
 	if err == nil {
 		a.Answer, err = client.Do(ctx, contract.Submission{
 			Ref: r.Ref(), Service: serviceName, Customer: r.Plan.Customer, Tasks: r.Plan.Specs(),
@@ -243,30 +245,30 @@
 	return a.Final()
 }
 
-// cancelJob cancels a job after its drawn delay or with a wave of cancellations.
-func (s *Soak) cancelJob(j *soakJob, over <-chan struct{}) {
+// cancelJob cancels a job after its drawn delay or with a wave of cancellations, unless the job has ended before.
+func (s *Soak) cancelJob(j *soakJob, done <-chan struct{}) {
 	s.mu.Lock()
-	wave := s.wave
+	cancelSignal := s.cancelSignal
 	s.mu.Unlock()
-	var alone <-chan time.Time
+	var ownDelay <-chan time.Time
 	if j.cancelAfter > 0 {
-		alone = time.After(j.cancelAfter)
+		ownDelay = time.After(j.cancelAfter)
 	}
-	if !j.joinsWave {
-		wave = nil
+	if !j.inCancelWave {
+		cancelSignal = nil
 	}
 	select {
-	case <-over:
+	case <-done:
 		return
-	case <-alone:
-	case <-wave:
+	case <-ownDelay:
+	case <-cancelSignal:
 	}
-	client, err := s.gateways.Client(s.choose(j.others[2]).Callers)
+	client, err := s.clients.Client(s.pickServing(j.otherPicks[2]).Callers)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	// The job's answer tells what the cancellation did.
+	// The job's answer shows the effect of the cancellation.
 	_, _ = client.Cancel(ctx, j.record.Ref())
 }
--- a/load/soakconfig.go
+++ b/load/soakconfig.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// configConflict counts the races of operators under this name among the injected faults.
+	// configConflict is the name under which races between operators are counted among the injected faults.
 	configConflict = "config_conflict"
 	configStream   = "config"
 	configPage     = 256
-	// configPause spaces the races; each costs two or three appends.
+	// configPause is the mean time between races; each race costs two or three appends.
 	configPause = time.Second
 	configCall  = time.Second
-	// configBound is the time after the end of all faults within which the configuration has to be in effect
-	// everywhere: 3 s of the target and the time of the last call.
+	// configBound is the time after the end of all faults within which the configuration must be in effect on all entry
+	// VMs: the target of 3 s and the time of the last call.
 	configBound = 3*time.Second + configCall
 )
 
-// operators publish changes that race each other and read which revision each entry VM has in effect. mu guards the
-// revisions seen.
+// operators publish competing configuration changes and read the revision in effect on each entry VM. mu guards the
+// revisions.
 type operators struct {
 	s     *Soak
 	log   platform.Log
 	state *contract.ConfigState
 
-	mu   sync.Mutex
-	seen map[uint64]uint64 // highest revision by incarnation
+	mu        sync.Mutex
+	revisions map[uint64]uint64 // highest revision by incarnation
 }
 
 func newOperators(s *Soak) (*operators, error) {
@@ -43,22 +43,23 @@
 		return nil, err
 	}
 	return &operators{
-		s: s, log: log, state: contract.NewConfigState(config.Check), seen: make(map[uint64]uint64),
+		s: s, log: log, state: contract.NewConfigState(config.Check), revisions: make(map[uint64]uint64),
 	}, nil
 }
 
-// run races until end. Its random choices are its own, so that those of the other faults stay the same.
+// run publishes competing changes until end. It has its own random source, so that the draws of the other faults do not
+// change.
 func (o *operators) run(rng *rand.Rand, end time.Time) {
 	for round := 0; time.Now().Before(end); round++ {
 		time.Sleep(configPause/2 + time.Duration(rng.Int64N(int64(configPause))))
 		if o.readLog() == nil {
 			o.race(round, 2+rng.IntN(2), rng.Float64())
 		}
-		o.observe()
+		o.pollRevisions()
 	}
 }
 
-// readLog applies the records that the log holds.
+// readLog applies all records of the log.
 func (o *operators) readLog() error {
 	ctx, cancel := context.WithTimeout(context.Background(), configCall)
 	defer cancel()
@@ -69,7 +70,7 @@
 		}
 		o.state.Bounds(page.First)
 		for _, r := range page.Records {
-			// A malformed record is skipped by all readers.
+			// All readers skip a malformed record.
 			record, _ := config.DecodeRecord(r.Data)
 			o.state.Apply(r.Offset, r.Time, record)
 		}
@@ -79,7 +80,7 @@
 	}
 }
 
-// race publishes changes of the same base revision at the same time.
+// race publishes n changes of the same base revision concurrently.
 func (o *operators) race(round, n int, weight float64) {
 	base := o.state.View().Revision
 	var publishing sync.WaitGroup
@@ -91,11 +92,11 @@
 			}},
 		}
 		data, err := config.EncodeRecord(contract.ConfigRecord{Change: &change})
-		o.s.must(err)
+		o.s.reportError(err)
 		publishing.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), configCall)
 			defer cancel()
-			// A lost reply leaves open whether the change took part in the race.
+			// If the reply is lost, the change may or may not have been appended.
 			_, _ = o.log.Append(ctx, configStream, data)
 		})
 	}
@@ -105,58 +106,61 @@
 	o.s.mu.Unlock()
 }
 
-// observe asks all entry VMs for their revision and checks that none goes back.
-func (o *operators) observe() {
+// pollRevisions reads the revision of every entry VM and checks that none decreases.
+func (o *operators) pollRevisions() {
 	var asking sync.WaitGroup
 	for _, p := range o.s.serving() {
-		asking.Go(func() { _, _ = o.ask(p) })
+		asking.Go(func() { _, _ = o.revisionOf(p) })
 	}
 	asking.Wait()
 }
 
-// ask returns the revision in effect on an entry VM, or false if it does not answer or knows none.
-func (o *operators) ask(p *EntryProcess) (uint64, bool) {
+// revisionOf returns the revision in effect on an entry VM, and false if the VM does not answer or knows none.
+func (o *operators) revisionOf(p *EntryProcess) (uint64, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), configCall)
 	defer cancel()
 	r, err := rpc.ShowConfiguration(ctx, p.Callers, true, nil)
 	if err != nil || !r.GetKnown() {
 		return 0, false
 	}
-	o.s.checked(CheckConfigNeverReverts, 1)
+	o.s.countChecks(CheckConfigNeverReverts, 1)
 	o.mu.Lock()
-	highest := o.seen[r.GetIncarnation()]
-	o.seen[r.GetIncarnation()] = max(highest, r.GetRevision())
+	highest := o.revisions[r.GetIncarnation()]
+	o.revisions[r.GetIncarnation()] = max(highest, r.GetRevision())
 	o.mu.Unlock()
 	if r.GetRevision() < highest {
-		o.s.violate(Violation{Check: CheckConfigNeverReverts, Job: "-", Task: "-", At: time.Now(), Seen: fmt.Sprintf(
-			"%s went back from revision %d to %d", p.ID, highest, r.GetRevision())})
+		o.s.reportViolation(Violation{
+			Check: CheckConfigNeverReverts, Job: "-", Task: "-", At: time.Now(), Observed: fmt.Sprintf(
+				"%s reverted from revision %d to %d", p.ID, highest, r.GetRevision()),
+		})
 	}
 	return r.GetRevision(), true
 }
 
-// settle checks, once all faults have ended, that the revision which the log decides is in effect everywhere.
-func (o *operators) settle() {
+// checkInEffect checks, after all faults have ended, that the revision decided by the log is in effect on all entry
+// VMs.
+func (o *operators) checkInEffect() {
 	deadline := time.Now().Add(configBound)
 	if err := o.readLog(); err != nil {
-		o.s.must(err)
+		o.s.reportError(err)
 		return
 	}
 	want := o.state.View().Revision
 	for _, p := range o.s.serving() {
-		o.s.checked(CheckConfigInEffect, 1)
-		revision, ok := o.ask(p)
+		o.s.countChecks(CheckConfigInEffect, 1)
+		revision, ok := o.revisionOf(p)
 		for (!ok || revision < want) && time.Now().Before(deadline) {
 			time.Sleep(configCall / 10)
-			revision, ok = o.ask(p)
+			revision, ok = o.revisionOf(p)
 		}
 		if !ok || revision < want {
-			o.s.violate(Violation{Check: CheckConfigInEffect, Job: "-", Task: "-", At: time.Now(), Seen: fmt.Sprintf(
+			o.s.reportViolation(Violation{Check: CheckConfigInEffect, Job: "-", Task: "-", At: time.Now(), Observed: fmt.Sprintf(
 				"%s has revision %d (known: %t), the log decided %d", p.ID, revision, ok, want)})
 		}
 	}
 }
 
-// serving returns the entry VMs that have not been taken out of service.
+// serving returns the entry VMs in service.
 func (s *Soak) serving() []*EntryProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/load/soakinvariants.go
+++ b/load/soakinvariants.go
@@ -14,7 +14,7 @@
 
 const metricsTimeout = 2 * time.Second
 
-// readAllInvariants reads the counters of all daemons that run.
+// readAllInvariants reads the invariant counters of all daemons in service.
 func (s *Soak) readAllInvariants() {
 	s.mu.Lock()
 	entries := append([]*EntryProcess(nil), s.entries...)
@@ -26,20 +26,20 @@
 	}
 }
 
-// readInvariants takes over the counts of a daemon's own checks. Counts of a daemon that does not answer are lost.
+// readInvariants adds the counts of a daemon's own invariant checks. Counts of a daemon that does not answer are lost.
 func (s *Soak) readInvariants(p *EntryProcess) {
 	counters, err := daemonMetrics(p.Admin)
 	if err != nil {
 		return
 	}
-	s.checked(CheckProgram, counters[metric.InvariantChecks])
+	s.countChecks(CheckDaemonInvariants, counters[metric.InvariantChecks])
 	if n := counters[metric.InvariantViolations]; n > 0 {
-		s.violate(Violation{Check: CheckProgram, Job: "-", Task: "-", At: time.Now(), Seen: fmt.Sprintf(
-			"daemon of %s counts %d violations, see %s", p.ID, n, p.log)})
+		s.reportViolation(Violation{Check: CheckDaemonInvariants, Job: "-", Task: "-", At: time.Now(), Observed: fmt.Sprintf(
+			"daemon of %s reports %d violations, see %s", p.ID, n, p.log)})
 	}
 }
 
-// daemonMetrics reads the counters that an admin endpoint shows, by their names in package metric.
+// daemonMetrics reads the invariant counters from an admin endpoint, by their names in package metric.
 func daemonMetrics(address string) (map[string]int, error) {
 	c, err := client.NewClient()
 	if err != nil {
--- a/load/soaknetwork.go
+++ b/load/soaknetwork.go
@@ -7,8 +7,8 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// cut ends the links and refuses new ones for the fault's span.
-func (s *Soak) cut(f drawnFault, relays []*Relay) bool {
+// cut closes the links and refuses new connections for the duration of the fault.
+func (s *Soak) cut(f plannedFault, relays []*Relay) bool {
 	for _, r := range relays {
 		r.Cut()
 	}
@@ -19,7 +19,7 @@
 	return len(relays) > 0
 }
 
-// silence makes the open connections of the links silent for good.
+// silence makes the open connections of the links permanently silent.
 func (s *Soak) silence(relays []*Relay) bool {
 	for _, r := range relays {
 		r.Silence()
@@ -27,18 +27,18 @@
 	return len(relays) > 0
 }
 
-func (s *Soak) loseReplies(f drawnFault, relays []*Relay) bool {
+func (s *Soak) loseReplies(f plannedFault, relays []*Relay) bool {
 	for _, r := range relays {
 		r.LoseReplies()
 	}
 	time.Sleep(f.span / 4)
 	for _, r := range relays {
-		r.KeepReplies()
+		r.StopLosingReplies()
 	}
 	return len(relays) > 0
 }
 
-// domains returns the failure domain of each entry VM that serves.
+// domains returns the failure domain of each entry VM in service.
 func (s *Soak) domains() map[string]zone.DomainID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,39 +51,39 @@
 	return out
 }
 
-// pairOfEntries returns the links from one entry VM to another, in both directions if the coin says so.
-func (s *Soak) pairOfEntries(f drawnFault) []*Relay {
-	a, b := s.choose(f.a), s.choose(f.b)
+// linksOfPair returns the link from one entry VM to another, in both directions if coin is set.
+func (s *Soak) linksOfPair(f plannedFault) []*Relay {
+	a, b := s.pickServing(f.a), s.pickServing(f.b)
 	if a == b {
-		b = s.choose(f.b + 1)
+		b = s.pickServing(f.b + 1)
 	}
 	return s.network.Select(func(from, to string) bool {
 		return from == a.ID && to == b.ID || f.coin && from == b.ID && to == a.ID
 	})
 }
 
-// acrossDomains returns all links between entry VMs of different failure domains.
-func (s *Soak) acrossDomains() []*Relay {
+// linksAcrossDomains returns all links between entry VMs of different failure domains.
+func (s *Soak) linksAcrossDomains() []*Relay {
 	domain := s.domains()
 	return s.network.Select(func(from, to string) bool {
 		return domain[from] != 0 && domain[to] != 0 && domain[from] != domain[to]
 	})
 }
 
-// insideDomain returns the links between one entry VM and the others of its failure domain.
-func (s *Soak) insideDomain(f drawnFault) []*Relay {
-	alone := s.choose(f.a)
+// linksInsideDomain returns the links between one entry VM and the other entry VMs of its failure domain.
+func (s *Soak) linksInsideDomain(f plannedFault) []*Relay {
+	isolated := s.pickServing(f.a)
 	domain := s.domains()
 	return s.network.Select(func(from, to string) bool {
-		return (from == alone.ID || to == alone.ID) && domain[from] == domain[to]
+		return (from == isolated.ID || to == isolated.ID) && domain[from] == domain[to]
 	})
 }
 
-// entryToWorker returns the link from one entry VM to one worker, or to all workers if the coin says so.
-func (s *Soak) entryToWorker(f drawnFault) []*Relay {
-	p := s.choose(f.a)
+// linksToWorker returns the link from one entry VM to one worker, or to all workers if coin is set.
+func (s *Soak) linksToWorker(f plannedFault) []*Relay {
+	p := s.pickServing(f.a)
 	id := ""
-	if w := s.chooseWorker(f.b, p.Domain); w != nil {
+	if w := s.pickWorker(f.b, p.Domain); w != nil {
 		id = string(w.worker.ID())
 	}
 	domain := s.domains()
@@ -92,18 +92,18 @@
 	})
 }
 
-func (s *Soak) entryToPlatform(f drawnFault) []*Relay {
-	p := s.choose(f.a)
+func (s *Soak) linkToPlatform(f plannedFault) []*Relay {
+	p := s.pickServing(f.a)
 	return s.network.Select(func(from, to string) bool { return from == p.ID && to == platformName })
 }
 
-// chooseWorker returns a worker of a failure domain, or of any for 0.
-func (s *Soak) chooseWorker(pick uint64, domain zone.DomainID) *soakWorker {
+// pickWorker returns a worker of a failure domain, or of any domain if domain is 0.
+func (s *Soak) pickWorker(pick uint64, domain zone.DomainID) *soakWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var candidates []*soakWorker
 	for _, w := range s.workers {
-		if !w.gone && (domain == 0 || w.domain == domain) {
+		if !w.removed && (domain == 0 || w.domain == domain) {
 			candidates = append(candidates, w)
 		}
 	}
@@ -113,14 +113,15 @@
 	return candidates[pick%uint64(len(candidates))]
 }
 
-// reserveWorker claims a worker that no other fault stops, leaving two of its failure domain alone.
+// reserveWorker reserves a worker that no other fault has reserved, unless its failure domain would have fewer than two
+// such workers left.
 func (s *Soak) reserveWorker(pick uint64) *soakWorker {
-	w := s.chooseWorker(pick, 0)
+	w := s.pickWorker(pick, 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	free := 0
 	for _, o := range s.workers {
-		if !o.busy && !o.gone && o.domain == w.domain {
+		if !o.busy && !o.removed && o.domain == w.domain {
 			free++
 		}
 	}
@@ -137,8 +138,9 @@
 	w.busy = false
 }
 
-// crashWorker ends a worker's process with its connections and begins another at the same address.
-func (s *Soak) crashWorker(f drawnFault) bool {
+// crashWorker restarts a worker as a new incarnation at the same address; its links are cut for the duration of the
+// fault.
+func (s *Soak) crashWorker(f plannedFault) bool {
 	w := s.reserveWorker(f.a)
 	if w == nil {
 		return false
@@ -155,8 +157,8 @@
 	return true
 }
 
-// degrade makes a worker misbehave for the fault's span.
-func (s *Soak) degrade(f drawnFault, faults standin.WorkerFaults) bool {
+// applyWorkerFaults applies faults to a worker for the duration of the fault.
+func (s *Soak) applyWorkerFaults(f plannedFault, faults standin.WorkerFaults) bool {
 	w := s.reserveWorker(f.a)
 	if w == nil {
 		return false
@@ -168,54 +170,54 @@
 	return true
 }
 
-// leaveWorker shows a worker as leaving, takes it off the list after a while and adds another. The worker itself would
-// still accept starts, so that only the dispatcher keeps new work away from it.
-func (s *Soak) leaveWorker(f drawnFault) bool {
+// leaveWorker lists a worker as leaving, removes it from the list after a delay and adds another worker. The leaving
+// worker still accepts starts, so that only the dispatcher keeps new work away from it.
+func (s *Soak) leaveWorker(f plannedFault) bool {
 	w := s.reserveWorker(f.a)
 	if w == nil {
 		return false
 	}
-	s.must(s.addWorker(w.domain))
-	s.roster.Leave(string(w.worker.ID()))
+	s.reportError(s.addWorker(w.domain))
+	s.vmList.Leave(string(w.worker.ID()))
 	time.Sleep(leaveBound + f.span)
 	s.mu.Lock()
-	w.gone = true
+	w.removed = true
 	s.mu.Unlock()
-	s.roster.Remove(string(w.worker.ID()))
+	s.vmList.Remove(string(w.worker.ID()))
 	return true
 }
 
-// logFaults adds a failure of the log for the fault's span. Failures of several faults add up.
-func (s *Soak) logFaults(f drawnFault, apply func(*standin.PlatformFaults)) bool {
-	s.logChange(func(fs []func(*standin.PlatformFaults)) []func(*standin.PlatformFaults) { return append(fs, apply) })
+// logFaults applies a fault to the platform's log for the duration of the fault. Overlapping log faults are combined.
+func (s *Soak) logFaults(f plannedFault, apply func(*standin.PlatformFaults)) bool {
+	s.setLogFaults(func(fs []func(*standin.PlatformFaults)) []func(*standin.PlatformFaults) { return append(fs, apply) })
 	time.Sleep(f.span)
-	s.logChange(func(fs []func(*standin.PlatformFaults)) []func(*standin.PlatformFaults) { return fs[1:] })
+	s.setLogFaults(func(fs []func(*standin.PlatformFaults)) []func(*standin.PlatformFaults) { return fs[1:] })
 	return true
 }
 
-func (s *Soak) logChange(change func([]func(*standin.PlatformFaults)) []func(*standin.PlatformFaults)) {
+func (s *Soak) setLogFaults(change func([]func(*standin.PlatformFaults)) []func(*standin.PlatformFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.logFault = change(s.logFault)
+	s.logFaultsInEffect = change(s.logFaultsInEffect)
 	var all standin.PlatformFaults
-	for _, apply := range s.logFault {
+	for _, apply := range s.logFaultsInEffect {
 		apply(&all)
 	}
 	s.platform.SetFaults(all)
 }
 
-func (s *Soak) listOutage(f drawnFault) bool {
-	s.roster.SetDown(true)
+func (s *Soak) listOutage(f plannedFault) bool {
+	s.vmList.SetDown(true)
 	time.Sleep(f.span)
-	s.roster.SetDown(false)
+	s.vmList.SetDown(false)
 	return true
 }
 
-// cancelWave makes the callers that take part cancel their jobs in progress.
-func (s *Soak) cancelWave(drawnFault) bool {
+// cancelWave makes the participating callers cancel their jobs in progress.
+func (s *Soak) cancelWave(plannedFault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.wave)
-	s.wave = make(chan struct{})
+	close(s.cancelSignal)
+	s.cancelSignal = make(chan struct{})
 	return true
 }
--- a/load/stats.go
+++ b/load/stats.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// quantile returns the q-quantile by the nearest rank, zero without values.
+// quantile returns the q-quantile by the nearest-rank method, or zero if there are no values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -22,7 +22,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// share divides, with zero for an empty whole.
+// share returns part / whole, or zero if whole is zero.
 func share(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
@@ -30,7 +30,7 @@
 	return part / whole
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the processor time used by this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/load/view.go
+++ b/load/view.go
@@ -11,33 +11,37 @@
 	"github.com/cicadadale/cicadadale/platform"
 )
 
-// NewView serves the list to one entry VM. shown is told of each leaving VM that a reply names.
-func NewView(vm string, roster *Roster, network *Network, shown func(vm, leaving string)) (*View, error) {
+// NewVMListServer serves the list to one entry VM. onLeavingListed is called for each leaving VM in a reply.
+func NewVMListServer(
+	vm string, vmList *VMList, network *Network, onLeavingListed func(vm, leaving string),
+) (*VMListServer, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
-	v := &View{vm: vm, roster: roster, network: network, shown: shown, server: httpserve.New(l, nil)}
-	v.server.GET("/v1/vms", v.list)
-	v.server.Start()
-	return v, nil
+	s := &VMListServer{
+		vm: vm, vmList: vmList, network: network, onLeavingListed: onLeavingListed, server: httpserve.New(l, nil),
+	}
+	s.server.GET("/v1/vms", s.list)
+	s.server.Start()
+	return s, nil
 }
 
-// Address returns where the view listens.
-func (v *View) Address() string { return v.server.Address() }
+// Address returns the address on which the list is served.
+func (s *VMListServer) Address() string { return s.server.Address() }
 
 // Close stops serving.
-func (v *View) Close() { _ = v.server.Stop() }
+func (s *VMListServer) Close() { _ = s.server.Stop() }
 
-func (v *View) list(_ context.Context, c *app.RequestContext) {
-	vms, ok := v.roster.VMs()
+func (s *VMListServer) list(_ context.Context, c *app.RequestContext) {
+	vms, ok := s.vmList.VMs()
 	if !ok {
 		c.String(503, "list is down")
 		return
 	}
 	sort.Slice(vms, func(i, j int) bool { return vms[i].ID < vms[j].ID })
 	for i := range vms {
-		if err := v.route(&vms[i]); err != nil {
+		if err := s.route(&vms[i]); err != nil {
 			c.String(503, "no link: %v", err)
 			return
 		}
@@ -45,21 +49,21 @@
 	c.JSON(200, vms)
 	for _, vm := range vms {
 		if vm.Leaving {
-			v.shown(v.vm, vm.ID)
+			s.onLeavingListed(s.vm, vm.ID)
 		}
 	}
 }
 
-// route replaces the addresses of a VM by those of the relays that lead to it.
-func (v *View) route(vm *platform.VM) error {
-	if vm.ID == v.vm {
+// route replaces a VM's address with that of the relay to it.
+func (s *VMListServer) route(vm *platform.VM) error {
+	if vm.ID == s.vm {
 		return nil
 	}
 	target := &vm.Address
 	if vm.Kind == platform.KindEntry {
 		target = &vm.PeerAddress
 	}
-	r, err := v.network.Link(v.vm, vm.ID, *target)
+	r, err := s.network.Link(s.vm, vm.ID, *target)
 	if err != nil {
 		return err
 	}
--- a/load/workerrecord.go
+++ b/load/workerrecord.go
@@ -10,14 +10,14 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// workerRun is one task as a worker ran it.
+// workerRun is one run of a task as recorded by its worker.
 type workerRun struct {
 	begin, end time.Time
 	long       bool
 	stoppable  bool
 }
 
-// WorkerRecord is what one worker recorded during a run. mu guards all fields below it.
+// WorkerRecord is what one worker recorded during a run. mu guards the fields below it.
 type WorkerRecord struct {
 	id    machine.WorkerID
 	slots int
@@ -36,7 +36,7 @@
 func (r *WorkerRecord) started(s standin.Start, p Payload) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.runs[s.Task] = &workerRun{begin: s.At, long: p.Long, stoppable: stoppableKind(s.Kind)}
+	r.runs[s.Task] = &workerRun{begin: s.At, long: p.Long, stoppable: isStoppable(s.Kind)}
 }
 
 func (r *WorkerRecord) ended(task string, at time.Time) {
@@ -47,66 +47,66 @@
 	}
 }
 
-// count adds to a counter under the record's lock.
+// count calls fn under the record's lock.
 func (r *WorkerRecord) count(fn func(r *WorkerRecord)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fn(r)
 }
 
-// interval is a time span on the wall clock.
+// interval is a time interval of the wall clock.
 type interval struct{ from, to time.Time }
 
-// longFrom returns when a run began to count as long: from its start for long work, otherwise from the time at which
-// it outgrew short work.
-func (r *workerRun) longFrom() time.Time {
+// longSince returns when a run started to count as long: at its start for long work, otherwise when it exceeded the
+// short-task limit.
+func (r *workerRun) longSince() time.Time {
 	if r.long {
 		return r.begin
 	}
 	return r.begin.Add(backend.LongThreshold)
 }
 
-// obstructions returns when long work held more slots than its cap, or a task that outgrew short work and that may be
-// stopped held a slot. A run without an end lasts until now.
-func (r *WorkerRecord) obstructions(longCap float64, now time.Time) []interval {
+// blockedByLong returns when long work held more slots than its cap, or when a stoppable task that had exceeded the
+// short-task limit held a slot. A run without an end lasts until now.
+func (r *WorkerRecord) blockedByLong(longCap float64, now time.Time) []interval {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var edges []edge
+	var changes []levelChange
 	var out []interval
 	for _, run := range r.runs {
 		end := run.end
 		if end.IsZero() {
 			end = now
 		}
-		from := run.longFrom()
+		from := run.longSince()
 		if !from.Before(end) {
 			continue
 		}
-		edges = append(edges, edge{from, 1}, edge{end, -1})
+		changes = append(changes, levelChange{from, 1}, levelChange{end, -1})
 		if !run.long && run.stoppable {
 			out = append(out, interval{from, end})
 		}
 	}
-	return append(out, above(edges, int(longCap*float64(r.slots)))...)
+	return append(out, intervalsAbove(changes, int(longCap*float64(r.slots)))...)
 }
 
-// edge changes a level at a time.
-type edge struct {
+// levelChange changes a level by step at a time.
+type levelChange struct {
 	at   time.Time
 	step int
 }
 
-// above returns when the level is higher than the limit.
-func above(edges []edge, limit int) []interval {
-	sort.Slice(edges, func(i, j int) bool {
-		if edges[i].at.Equal(edges[j].at) {
-			return edges[i].step < edges[j].step
+// intervalsAbove returns when the level is higher than the limit.
+func intervalsAbove(changes []levelChange, limit int) []interval {
+	sort.Slice(changes, func(i, j int) bool {
+		if changes[i].at.Equal(changes[j].at) {
+			return changes[i].step < changes[j].step
 		}
-		return edges[i].at.Before(edges[j].at)
+		return changes[i].at.Before(changes[j].at)
 	})
 	var out []interval
 	level := 0
-	for _, e := range edges {
+	for _, e := range changes {
 		before := level
 		level += e.step
 		if before <= limit && level > limit {
@@ -119,7 +119,7 @@
 	return out
 }
 
-// union merges overlapping intervals and orders them by time.
+// union merges overlapping intervals and sorts them by time.
 func union(in []interval) []interval {
 	sort.Slice(in, func(i, j int) bool { return in[i].from.Before(in[j].from) })
 	var out []interval
@@ -135,7 +135,7 @@
 	return out
 }
 
-// overlap returns how long an interval lies within a union of intervals.
+// overlap returns how much of an interval is covered by a sorted union of intervals.
 func overlap(v interval, in []interval) time.Duration {
 	var sum time.Duration
 	first := sort.Search(len(in), func(i int) bool { return in[i].to.After(v.from) })
@@ -155,8 +155,8 @@
 	return sum
 }
 
-// busy returns how long slots were busy within an interval, summed over the slots.
-func (r *WorkerRecord) busy(v interval) time.Duration {
+// busyTime returns the time for which slots were busy within an interval, summed over the slots.
+func (r *WorkerRecord) busyTime(v interval) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var sum time.Duration
--- a/load/workload.go
+++ b/load/workload.go
@@ -7,7 +7,7 @@
 	"github.com/cicadadale/cicadadale/config"
 )
 
-// Duration is a time span written as in "1.5s".
+// Duration is a duration in the format of time.ParseDuration, such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -51,18 +51,18 @@
 	FailShare       float64  `toml:"fail_share"`
 }
 
-// WorkloadLong is the long work.
+// WorkloadLong describes the long work.
 type WorkloadLong struct {
-	// Share is the part of the capacity that long work asks for at all times.
+	// Share is the share of the capacity that long work demands at all times.
 	Share    float64  `toml:"share"`
 	Shortest Duration `toml:"shortest"`
 	Longest  Duration `toml:"longest"`
 	Deadline Duration `toml:"deadline"`
-	// Cap is the share of a worker's slots that the dispatcher allows long work.
+	// Cap is the share of a worker's slots that the dispatcher gives to long work.
 	Cap float64 `toml:"cap"`
 }
 
-// WorkloadJobs is the shape of jobs.
+// WorkloadJobs describes the size, deadline and resubmission of jobs.
 type WorkloadJobs struct {
 	FewestTasks    int      `toml:"fewest_tasks"`
 	MostTasks      int      `toml:"most_tasks"`
@@ -71,24 +71,24 @@
 	ResubmitAfter  float64  `toml:"resubmit_after"`
 }
 
-// WorkloadCallers is the population of callers.
+// WorkloadCallers describes the callers.
 type WorkloadCallers struct {
 	Number    int `toml:"number"`
 	Customers int `toml:"customers"`
-	// Skew is the exponent of the spread over entry VMs: the n-th VM gets a share proportional to 1/n^skew.
+	// Skew is the exponent of the distribution over entry VMs: the n-th VM gets a share proportional to 1/n^skew.
 	Skew float64 `toml:"skew"`
 }
 
 // WorkloadDemand is the demand over time, as shares of the capacity. A cycle is lead, ramp up, hold, ramp down.
 type WorkloadDemand struct {
-	Base  float64  `toml:"base"`
-	Crest float64  `toml:"crest"`
-	Lead  Duration `toml:"lead"`
-	Ramp  Duration `toml:"ramp"`
-	Hold  Duration `toml:"hold"`
+	Base float64  `toml:"base"`
+	Peak float64  `toml:"crest"`
+	Lead Duration `toml:"lead"`
+	Ramp Duration `toml:"ramp"`
+	Hold Duration `toml:"hold"`
 }
 
-// defaultWorkload returns the values of keys that a file may leave out.
+// defaultWorkload returns the values of omitted keys.
 func defaultWorkload() Workload {
 	return Workload{
 		Duration: Duration(10 * time.Second),
@@ -118,7 +118,7 @@
 	return ParseWorkload(path, text)
 }
 
-// ParseWorkload reads a workload and returns all findings at once.
+// ParseWorkload parses and validates a workload, and returns all findings at once.
 func ParseWorkload(file string, text []byte) (Workload, error) {
 	w := defaultWorkload()
 	findings := decodeWorkload(file, text, &w)
@@ -135,7 +135,7 @@
 	reason string
 }
 
-// validate returns the findings of all rules that the workload breaks.
+// validate returns a finding for each rule that the workload violates.
 func (w Workload) validate(file string, lines map[string]int) config.Findings {
 	rules := append(w.Deployment.rules(), w.Tasks.rules()...)
 	rules = append(rules, w.Long.rules()...)
@@ -206,9 +206,9 @@
 	return []workloadRule{
 		{"demand.base", !(d.Base > 0 && d.Base <= 4), "must be above 0 and at most 4"},
 		{"demand.base", d.Base < long, "must not be below long.share"},
-		{"demand.crest", d.Crest != 0 && !(d.Crest >= d.Base && d.Crest <= 4), "must be base to 4, or 0 for none"},
+		{"demand.crest", d.Peak != 0 && !(d.Peak >= d.Base && d.Peak <= 4), "must be base to 4, or 0 for none"},
 		{"demand.lead", d.Lead < 0, "must not be negative"},
 		{"demand.ramp", d.Ramp < 0, "must not be negative"},
-		{"demand.hold", d.Hold < 0 || (d.Crest > 0 && d.Hold == 0), "must be positive with a crest"},
+		{"demand.hold", d.Hold < 0 || (d.Peak > 0 && d.Hold == 0), "must be positive with a crest"},
 	}
 }
--- a/load/workloadfile.go
+++ b/load/workloadfile.go
@@ -11,7 +11,7 @@
 	"github.com/cicadadale/cicadadale/config"
 )
 
-// decodeWorkload decodes strictly. A value of the wrong type ends the decoding, unknown keys do not.
+// decodeWorkload decodes strictly. A value of the wrong type stops the decoding, unknown keys do not.
 func decodeWorkload(file string, text []byte, w *Workload) config.Findings {
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -36,7 +36,7 @@
 	return config.Findings{{File: file, Reason: err.Error()}}
 }
 
-// keyLines returns the line of each key, so that findings about decoded values name their place.
+// keyLines returns the line of each key, for findings about decoded values.
 func keyLines(text []byte) map[string]int {
 	lines := make(map[string]int)
 	var p unstable.Parser
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -184,7 +184,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", part(), part(), part())
 }
 
-// publish writes the operator's configuration to the store.
+// publish writes the operator's desired state to the store.
 func (s *Soak) publish() {
 	s.store.Put("keyed.op", "config", standin.DesiredDocument(1, contract.Route{
 		Name: "jobs", Host: routeHost, PathPrefix: routePrefix, Backend: service, Attempts: 2, TargetFactor: 1.6,
