--- a/contract/jobtable.go
+++ b/contract/jobtable.go
@@ -134,7 +134,7 @@
 	}
 	j := newJob(spec, now)
 	if s.pending+j.payloadBytes() > PendingBytes/jobShards {
-		return false, fault.With(fault.Overloaded, "memory", "the memory limit of unfinished jobs is reached")
+		return false, fault.With(fault.Overloaded, "memory", "the unfinished jobs take the memory set aside for them")
 	}
 	s.add(j)
 	return true, nil
@@ -321,7 +321,7 @@
 // missingError returns the reason for which an id is not in the table. It expects the shard lock to be held.
 func (t *JobTable) missingError(id JobID, s *jobShard) error {
 	if id.Seq <= s.expired[id.Home] {
-		return fault.With(fault.Expired, "expired id", "the answer of job %s has expired", id)
+		return fault.With(fault.Expired, "expired id", "the answer of %s is no longer kept", id)
 	}
 	if id.Home != t.home {
 		return t.adopted.missingError(id)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -243,11 +243,9 @@
 	case err == nil:
 		return contract.JobID{}, false, nil
 	case c.isCaughtUp():
-		return contract.JobID{}, false, fault.With(fault.Overloaded, reasonNotClaimed,
-			"key %s was not claimed through this entry VM", k)
+		return contract.JobID{}, false, fault.With(fault.Overloaded, reasonNotClaimed, "key %s was not claimed here", k)
 	default:
-		return contract.JobID{}, false, fault.With(fault.Unavailable, reasonNotRead,
-			"this entry VM has not read the claims: %s", err)
+		return contract.JobID{}, false, fault.With(fault.Unavailable, reasonNotRead, "the log was not read here: %s", err)
 	}
 }
 
--- a/entry/configapply.go
+++ b/entry/configapply.go
@@ -87,7 +87,7 @@
 // not run: before then nothing has run under an id of this process.
 func (d *Daemon) requireConfiguration() error {
 	if !d.configs.inEffect().Known {
-		return fault.With(fault.Overloaded, "no configuration", "no configuration received from the log or a peer")
+		return fault.With(fault.Overloaded, "no configuration", "neither the log nor a peer has shown the configuration")
 	}
 	return nil
 }
--- a/entry/router.go
+++ b/entry/router.go
@@ -200,7 +200,7 @@
 		return a, nil
 	}
 	if d.fenced.Load() {
-		return contract.Answer{}, fault.With(fault.Lost, "home lost", "other members treat this entry VM as gone")
+		return contract.Answer{}, fault.With(fault.Lost, "home lost", "this entry VM counts as gone")
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
 		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain is unreachable")
@@ -261,7 +261,7 @@
 		return fault.Unavailable.New("the home of job %s is not known yet", id)
 	}
 	return fault.With(fault.Lost, fault.ReasonHomeGone,
-		"the home of job %s is no longer a member of its failure domain", id)
+		"the home of job %s is no member of its failure domain any more", id)
 }
 
 // successor returns the VM that answers for the jobs handed over by this one.
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -84,7 +84,7 @@
 func (s *Server) CreateJobs(ctx context.Context, r *api.CreateJobsRequest) (*api.CreateJobsResponse, error) {
 	n := int(r.GetCount())
 	if n < 1 || n > maxJobIDs {
-		return nil, s.callError(fault.With(fault.Invalid, "count", "count %d is not between 1 and %d", n, maxJobIDs))
+		return nil, s.callError(fault.With(fault.Invalid, "count", "count of %d is not from 1 to %d", n, maxJobIDs))
 	}
 	ids, err := s.jobs.Create(ctx, n)
 	if err != nil {
