--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -65,7 +65,8 @@
 
 func (c *hostCalls) Forget(link.HostAddress) {}
 
-// fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job.
+// fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job. mu guards
+// takes, sizes and reports: the workers read the first two and the pool writes the third while a test runs.
 type fixture struct {
 	pool     *Pool
 	calls    *hostCalls
@@ -89,9 +90,10 @@
 		h := standin.NewRunHost(standin.RunHostOptions{
 			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
 			Work: func(k contract.RunKey) standin.RunOutcome {
-				return standin.RunOutcome{Takes: b.takes[k.Batch], Stalls: b.takes[k.Batch] == 0}
+				takes := b.runTime(k.Batch)
+				return standin.RunOutcome{Takes: takes, Stalls: takes == 0}
 			},
-			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.sizes[k.Batch]} },
+			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.size(k.Batch)} },
 		})
 		b.calls.hosts[id] = h
 		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, Born: h.Born(), Capacity: capacity})
@@ -110,12 +112,43 @@
 	return b
 }
 
-// order orders one task of a job.
-func (b *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
-	b.sizes[job] = cpu
+func (b *fixture) setRunTime(job string, d time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.takes[job] = d
+}
+
+// setDefaultRunTime sets the run time of a job that has none.
+func (b *fixture) setDefaultRunTime(job string, d time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if _, ok := b.takes[job]; !ok {
-		b.takes[job] = 100 * time.Millisecond
+		b.takes[job] = d
 	}
+}
+
+func (b *fixture) runTime(job string) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.takes[job]
+}
+
+func (b *fixture) setSize(job string, cpu int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.sizes[job] = cpu
+}
+
+func (b *fixture) size(job string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.sizes[job]
+}
+
+// order orders one task of a job.
+func (b *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
+	b.setSize(job, cpu)
+	b.setDefaultRunTime(job, 100*time.Millisecond)
 	key := contract.RunKey{Batch: job, Run: 1}
 	now := time.Now()
 	b.pool.Order(testHome, contract.TaskOrder{
@@ -170,7 +203,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["stalls"] = 0
+		b.setRunTime("stalls", 0)
 		key := b.order("stalls", 1000, 0, time.Second, 5*time.Second)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
@@ -206,7 +239,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["gone"], b.takes["silent"] = 10*time.Second, 10*time.Second
+		b.setRunTime("gone", 10*time.Second)
+		b.setRunTime("silent", 10*time.Second)
 		gone := b.order("gone", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		b.pool.HomeUnreachable(testHome)
@@ -233,7 +267,7 @@
 		b := newFixture(1)
 		defer b.pool.Close()
 		b.pool.o.Calls = delayedCalls{b.calls}
-		b.takes["a"] = 5 * time.Second
+		b.setRunTime("a", 5*time.Second)
 		b.calls.hosts["w0"].SetLosingAnswers(true)
 		start := time.Now()
 		key := b.order("a", 1000, 0, time.Second, 20*time.Second)
@@ -254,7 +288,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["lost"], b.takes["kept"] = 5*time.Second, 5*time.Second
+		b.setRunTime("lost", 5*time.Second)
+		b.setRunTime("kept", 5*time.Second)
 		lost := b.order("lost", 500, 0, time.Second, 10*time.Second)
 		kept := b.order("kept", 500, 0, time.Second, 10*time.Second)
 		b.calls.dropStops = true
@@ -279,7 +314,7 @@
 		time.Sleep(time.Second)
 		b.calls.hosts["w0"].Restart()
 		time.Sleep(time.Second)
-		b.takes["a"] = 800 * time.Millisecond
+		b.setRunTime("a", 800*time.Millisecond)
 		key := b.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
@@ -333,7 +368,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(2)
 		defer b.pool.Close()
-		b.sizes["spread"], b.takes["spread"] = 500, time.Second
+		b.setSize("spread", 500)
+		b.setRunTime("spread", time.Second)
 		now := time.Now()
 		for i := range 4 {
 			b.pool.Order(testHome, contract.TaskOrder{
@@ -357,7 +393,8 @@
 		defer b.pool.Close()
 		for i := range jobs {
 			job := fmt.Sprintf("job-%d", i)
-			b.sizes[job], b.takes[job] = 1000, 100*time.Millisecond
+			b.setSize(job, 1000)
+			b.setRunTime(job, 100*time.Millisecond)
 			now := time.Now()
 			var keys []contract.RunKey
 			for n := range tasks {
