--- a/contract/id.go
+++ b/contract/id.go
@@ -43,7 +43,7 @@
 	}
 	id, err := parseJobID(s)
 	if err == nil && id.String() != s {
-		return JobID{}, fmt.Errorf("job id %q is not in its canonical form %q", s, id)
+		return JobID{}, fmt.Errorf("job id %q is not in its usual form %q", s, id)
 	}
 	return id, err
 }
@@ -96,7 +96,7 @@
 	}
 	task := TaskID{Job: id, Index: int(i)}
 	if task.String() != s {
-		return TaskID{}, fmt.Errorf("task id %q is not in its canonical form %q", s, task)
+		return TaskID{}, fmt.Errorf("task id %q is not in its usual form %q", s, task)
 	}
 	return task, nil
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -319,7 +319,7 @@
 // paused between the decision and the start.
 func (d *Dispatcher) send(req StartRequest) (StartReply, error) {
 	if !d.mayStart() {
-		return StartReply{}, fault.NotStarted.New("other members may have declared this home node gone")
+		return StartReply{}, fault.NotStarted.New("this home may count as gone")
 	}
 	return d.o.Starter.Start(d.ctx, req)
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -262,7 +262,7 @@
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
 	if c.isFailing() {
-		return fault.Unavailable.New("the log is not readable")
+		return fault.Unavailable.New("the log cannot be read")
 	}
 	c.mu.Lock()
 	caughtUp := c.caughtUp
@@ -270,14 +270,14 @@
 	select {
 	case <-caughtUp:
 	case <-ctx.Done():
-		return fault.Unavailable.New("the stream of claims has not been read to its end yet")
+		return fault.Unavailable.New("the stream of claims has not been read yet")
 	}
 	arrived := c.barriers.Load()
 	select {
 	case c.reading <- struct{}{}:
 		defer func() { <-c.reading }()
 	case <-ctx.Done():
-		return fault.Unavailable.New("too many lookups are waiting for the log")
+		return fault.Unavailable.New("too many lookups wait for the log")
 	}
 	if c.lastBarrier > arrived {
 		// A read that began after this lookup has reached the end of the stream.
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -75,7 +75,7 @@
 func (d *Daemon) adopt(vm string, m *api.HandOver) error {
 	inc := machine.Incarnation(m.GetIncarnation())
 	if machine.Incarnation(m.GetSuccessor()) != d.o.VM.Incarnation {
-		return fault.Unavailable.New("the hand-over is addressed to another incarnation")
+		return fault.Unavailable.New("the part is meant for another incarnation")
 	}
 	h := d.handovers
 	h.mu.Lock()
@@ -85,7 +85,7 @@
 		return nil
 	}
 	if m.GetPart() != last+1 {
-		return fault.Unavailable.New("part %d of the hand-over arrived before part %d", m.GetPart(), last+1)
+		return fault.Unavailable.New("part %d arrived before part %d", m.GetPart(), last+1)
 	}
 	if last == 0 && (d.dispatcher.Draining() || d.fenced.Load()) {
 		return fault.With(fault.Draining, fault.ReasonDraining, "this entry VM is stopping")
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -118,7 +118,7 @@
 		return id, nil
 	}
 	if err != nil {
-		return contract.JobID{}, fault.Unavailable.Wrap(cause, "the state of key %s is unknown: %s", k, err)
+		return contract.JobID{}, fault.Unavailable.Wrap(cause, "the state of key %s is not known: %s", k, err)
 	}
 	reason := "log unreachable"
 	if !d.table.Refuse(minted, reason, cause.Error(), d.o.Now()) {
@@ -135,7 +135,7 @@
 	case d.inquiries <- struct{}{}:
 		defer func() { <-d.inquiries }()
 	default:
-		return contract.JobID{}, false, fault.Unavailable.New("too many concurrent key lookups")
+		return contract.JobID{}, false, fault.Unavailable.New("too many keys are being looked up")
 	}
 	ctx, cancel := context.WithTimeout(ctx, keyInquiryTimeout)
 	defer cancel()
@@ -269,7 +269,7 @@
 	id, found, err := d.lookupKey(ctx, *r.Key)
 	switch {
 	case fault.IsProvenNotStarted(err):
-		return r, fault.Unavailable.New("key %s is not known to this entry VM and the log is unreachable", r.Key)
+		return r, fault.Unavailable.New("key %s is not known here and the log cannot be reached", r.Key)
 	case err != nil:
 		return r, err
 	case !found:
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -150,7 +150,7 @@
 		p, err := d.Status(ctx, ref)
 		return d.setProgress(resp, p, err)
 	default:
-		return fault.Unavailable.New("unsupported request")
+		return fault.Unavailable.New("request is not supported")
 	}
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -188,7 +188,7 @@
 // request sends a request to a peer and waits for its reply.
 func (p *peers) request(ctx context.Context, vm string, r *api.Request, timeout time.Duration) (*api.Response, error) {
 	if p.failing(vm) {
-		return nil, fault.Unavailable.New("entry VM %s is unreachable", vm)
+		return nil, fault.Unavailable.New("entry VM %s cannot be reached", vm)
 	}
 	reply := make(chan *api.Response, 1)
 	p.mu.Lock()
--- a/entry/router.go
+++ b/entry/router.go
@@ -203,7 +203,7 @@
 		return contract.Answer{}, fault.With(fault.Lost, "home lost", "this entry VM counts as gone")
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
-		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain is unreachable")
+		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain cannot be reached")
 	}
 	return a, err
 }
@@ -229,11 +229,11 @@
 	case zone.HomeGone:
 		if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
 			// A member that is cut off from the others may have missed the tombstone of a home after a planned stop.
-			return "", false, fault.Unavailable.New("the home of job %s is gone; its successor may be unreachable", id)
+			return "", false, fault.Unavailable.New("the home of job %s is gone; its successor may be out of reach", id)
 		}
 		return "", false, fault.With(fault.Lost, fault.ReasonHomeGone, "the home of job %s is gone", id)
 	case zone.HomeSilent:
-		return "", false, fault.Unavailable.New("the home of job %s is unreachable", id)
+		return "", false, fault.Unavailable.New("the home of job %s cannot be reached", id)
 	default:
 		return "", false, d.unknownHome(id)
 	}
@@ -251,11 +251,11 @@
 func (d *Daemon) unknownHome(id contract.JobID) error {
 	for _, vm := range d.domain.Listed() {
 		if d.homes.Current(vm) == 0 {
-			return fault.Unavailable.New("the home of job %s and the incarnation on entry VM %s are not known", id, vm)
+			return fault.Unavailable.New("the home of job %s is not known, nor who runs on entry VM %s", id, vm)
 		}
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
-		return fault.Unavailable.New("the home of job %s is not known, and the members that may know it are unreachable", id)
+		return fault.Unavailable.New("the home of job %s is not known, and the members that may know it cannot be reached", id)
 	}
 	if d.o.Now().Sub(d.started) < zone.SilenceLimit {
 		return fault.Unavailable.New("the home of job %s is not known yet", id)
--- a/link/peerserver.go
+++ b/link/peerserver.go
@@ -14,9 +14,9 @@
 )
 
 var (
-	errSilent    = errors.New("no acknowledgement before the timeout")
-	errRefused   = errors.New("sender's incarnation is considered dead")
-	errNotListed = errors.New("sender is not on the VM list")
+	errSilent    = errors.New("link is silent")
+	errRefused   = errors.New("incarnation counts as gone")
+	errNotListed = errors.New("incarnation is not accepted now")
 )
 
 const (
--- a/link/worker.go
+++ b/link/worker.go
@@ -221,7 +221,7 @@
 	req.Header.Set(HeaderAttempt, strconv.Itoa(r.Attempt))
 	l.sendTime(req)
 	if err := l.fences.DoTimeout(ctx, req, resp, fenceWait+replyMargin); err != nil {
-		return dispatch.StartReply{}, fault.Unavailable.Wrap(err, "fencing call to worker %s failed", r.Worker)
+		return dispatch.StartReply{}, fault.Unavailable.Wrap(err, "worker %s cannot be asked", r.Worker)
 	}
 	l.receiveTime(resp)
 	return readReply(resp, r)
@@ -232,7 +232,7 @@
 func (l *Workers) Poll(ctx context.Context, w *machine.Worker, now func() time.Time) (WorkerStatus, error) {
 	link := l.link(w.Spec().ID)
 	if !link.startPoll() {
-		return WorkerStatus{}, fault.Unavailable.New("worker %s is already being polled", w.Spec().ID)
+		return WorkerStatus{}, fault.Unavailable.New("worker %s is being asked for its status", w.Spec().ID)
 	}
 	defer link.endPoll()
 	sent := time.Now()
