--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -4,7 +4,10 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"maps"
+	"slices"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -34,6 +37,20 @@
 	o.workers[key.Batch] = worker
 }
 
+// startedJobs returns a copy of the jobs of the started tasks, in the order of their starts.
+func (o *startObserver) startedJobs() []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return slices.Clone(o.started)
+}
+
+// workerOfJob returns a copy of the worker of each started job.
+func (o *startObserver) workerOfJob() map[string]string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return maps.Clone(o.workers)
+}
+
 func (o *startObserver) Ended(string, contract.RunKey, contract.RunState, time.Time) {}
 
 // hostCalls calls stand-ins of workers without a network.
@@ -41,6 +58,8 @@
 	hosts map[string]*standin.RunHost
 	// dropStops makes all stop calls time out without effect.
 	dropStops bool
+	// delayPolls makes polls take a round trip.
+	delayPolls atomic.Bool
 }
 
 func (c *hostCalls) Start(
@@ -60,6 +79,9 @@
 }
 
 func (c *hostCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
+	if c.delayPolls.Load() {
+		time.Sleep(5 * time.Millisecond)
+	}
 	return c.hosts[a.Worker].Hold(ctx, h)
 }
 
@@ -176,7 +198,7 @@
 		b.order("high", 2000, 0, 4*time.Second, 5*time.Second)
 		b.order("soon", 2000, 0, 3*time.Second, 5*time.Second)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, b.observer.started)
+		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, b.observer.startedJobs())
 	})
 }
 
@@ -194,7 +216,7 @@
 				time.Sleep(45 * time.Millisecond)
 			}
 		}
-		require.Contains(t, b.observer.started, "large")
+		require.Contains(t, b.observer.startedJobs(), "large")
 	})
 }
 
@@ -224,8 +246,9 @@
 			b.order(fmt.Sprintf("job-%d", i), 1000, 0, time.Second, 5*time.Second)
 		}
 		time.Sleep(600 * time.Millisecond)
-		require.Len(t, b.observer.workers, 6)
-		for job, worker := range b.observer.workers {
+		workers := b.observer.workerOfJob()
+		require.Len(t, workers, 6)
+		for job, worker := range workers {
 			require.Equal(t, "w1", worker, job)
 		}
 		b.list[1].Draining = true
@@ -252,21 +275,13 @@
 	})
 }
 
-// delayedCalls answers polls after a round trip.
-type delayedCalls struct{ *hostCalls }
-
-func (c delayedCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
-	time.Sleep(5 * time.Millisecond)
-	return c.hostCalls.Hold(ctx, a, h)
-}
-
 // Guards against a run that is declared ended when the reply to an early poll, made before its start arrived, is
 // delivered after a later poll has listed the run.
 func TestDelayedPollReplyEndsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.pool.o.Calls = delayedCalls{b.calls}
+		b.calls.delayPolls.Store(true)
 		b.setRunTime("a", 5*time.Second)
 		b.calls.hosts["w0"].SetLosingAnswers(true)
 		start := time.Now()
@@ -380,7 +395,7 @@
 		}
 		b.order("other", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		require.ElementsMatch(t, []string{"spread", "spread", "other"}, b.observer.started)
+		require.ElementsMatch(t, []string{"spread", "spread", "other"}, b.observer.startedJobs())
 	})
 }
 
