--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -142,7 +142,7 @@
 			d.net.setCut(func(a, b string) bool { return a == vm || b == vm })
 			time.Sleep(1250 * time.Millisecond)
 			for id := range d.hosts {
-				reply, err := d.hosts[id].Hold(context.Background(), link.HostHold{Token: 1 << 62})
+				reply, err := d.hosts[id].Hold(context.Background(), link.HostPoll{Token: 1 << 62})
 				require.NoError(t, err)
 				require.Empty(t, reply.Running, "runs of %s on %s", vm, id)
 			}
@@ -330,7 +330,7 @@
 
 // topTokenPoll lists the runs of a worker. Its token is higher than that of any owner, so no owner is accepted
 // afterwards.
-var topTokenPoll = link.HostHold{Token: 1 << 62}
+var topTokenPoll = link.HostPoll{Token: 1 << 62}
 
 // Guards against capacity that is lost or gained when a worker changes its owner while tasks run: the new owner learns
 // the size of a run only when its home claims it.
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -175,15 +175,15 @@
 	return h.Stop(ctx, key, token)
 }
 
-func (c workerCalls) Hold(ctx context.Context, a link.HostAddress, hold link.HostHold) (link.HoldReply, error) {
+func (c workerCalls) Poll(ctx context.Context, a link.HostAddress, hold link.HostPoll) (link.PollReply, error) {
 	h, err := c.reach(ctx, a)
 	if err != nil {
-		return link.HoldReply{}, err
+		return link.PollReply{}, err
 	}
 	return h.Hold(ctx, hold)
 }
 
-func (c workerCalls) Forget(link.HostAddress) {}
+func (c workerCalls) CloseIdleConnections(link.HostAddress) {}
 
 // runObserver observes all workers and finds tasks with two runs at the same time.
 type runObserver struct {
--- a/edge/members.go
+++ b/edge/members.go
@@ -109,7 +109,7 @@
 		switch {
 		case e.peer.Failing():
 			timeout = refusedTimeout
-		case e.info.Domain != m.self.Domain && e.peer.Stuck(now) < silenceTimeout:
+		case e.info.Domain != m.self.Domain && e.peer.AckDelay(now) < silenceTimeout:
 			// Statuses to other failure domains are less frequent where there are many members; what has been sent to this one
 			// has been acknowledged.
 			timeout = max(silenceTimeout, missedStatuses*time.Duration(len(m.byVM))*farStatusSpacing)
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -158,7 +158,7 @@
 }
 
 // handle processes an envelope of another member.
-func (d *Daemon) handle(env *api.Envelope) link.Reception {
+func (d *Daemon) handle(env *api.Envelope) link.HandlerResult {
 	vm := env.GetFromVm()
 	id := machine.Member{VM: vm, Incarnation: machine.Incarnation(env.GetFromIncarnation())}.ID()
 	for _, m := range env.GetMessages() {
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -14,7 +14,7 @@
 )
 
 // receive handles the envelopes of one link, in order.
-func (d *Daemon) receive(env *api.Envelope) link.Reception {
+func (d *Daemon) receive(env *api.Envelope) link.HandlerResult {
 	d.checkPause()
 	d.clock.Observe(env.GetLamport())
 	inc := machine.Incarnation(env.GetFromIncarnation())
@@ -47,7 +47,7 @@
 	return link.Accepted
 }
 
-func (d *Daemon) reject(inc machine.Incarnation) link.Reception {
+func (d *Daemon) reject(inc machine.Incarnation) link.HandlerResult {
 	if d.homes.Refuses(inc) {
 		return link.Refused
 	}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -93,8 +93,8 @@
 	l := link.NewPeer(id, v.PeerAddress, link.PeerOptions{
 		Self: link.Identity{VM: o.VM, Domain: uint32(o.Domain)}, Dial: o.DialPeer, Lamport: p.d.clock.Tick, Now: o.Now,
 		Logger: o.Logger, Metrics: o.Metrics, Timeline: p.d.timeline,
-		Sent: p.d.lease.Sent, Acked: p.d.lease.Acknowledged, Replaced: p.connectionReplaced,
-		Refused: p.d.refusedBy,
+		OnSent: p.d.lease.Sent, OnAck: p.d.lease.Acknowledged, OnDisconnect: p.connectionReplaced,
+		OnRefused: p.d.refusedBy,
 	})
 	p.links[id] = l
 	return l
--- a/entry/workerpoll.go
+++ b/entry/workerpoll.go
@@ -73,7 +73,7 @@
 // round, because its reports show which starts still run. So is one that has never reported.
 func (d *Daemon) pollPeriod(w *machine.Worker, id machine.WorkerID) uint64 {
 	switch {
-	case w.Incarnation() == 0 || d.workers.InFlight(id):
+	case w.Incarnation() == 0 || d.workers.HasStartsInFlight(id):
 		return 1
 	case d.slots.Granter(id) == d.o.VM.ID:
 		return allocatorPollRounds
--- a/link/example_test.go
+++ b/link/example_test.go
@@ -23,7 +23,7 @@
 		return
 	}
 	received := make(chan string)
-	server, err := link.ServePeers(l, func(env *api.Envelope) link.Reception {
+	server, err := link.ServePeers(l, func(env *api.Envelope) link.HandlerResult {
 		received <- fmt.Sprintf("%s sent %d message", env.GetFromVm(), len(env.GetMessages()))
 		return link.Accepted
 	}, nil)
--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -19,14 +19,14 @@
 	StartSuperseded
 	// StartExpired means that the call's lease had already expired on the worker's clock.
 	StartExpired
-	// StartNoRoom means that the worker has too little free capacity for the task.
-	StartNoRoom
+	// StartNoCapacity means that the worker has too little free capacity for the task.
+	StartNoCapacity
 	// StartUnhealthy means that the worker temporarily rejects all work.
 	StartUnhealthy
 	// StartInvalid means that the worker cannot decode the call.
 	StartInvalid
-	// StartOtherLife means that the worker has been restarted and has another incarnation.
-	StartOtherLife
+	// StartOtherIncarnation means that the worker has been restarted and has another incarnation.
+	StartOtherIncarnation
 )
 
 // String returns the verdict's name as used in logs.
@@ -52,11 +52,11 @@
 	Token    uint64
 }
 
-// HostHold is the request that extends the lease of all runs of a worker and returns their states.
-type HostHold struct {
+// HostPoll is the request that extends the lease of all runs of a worker and returns their states.
+type HostPoll struct {
 	Token uint64
-	// LastSeen is the number of the last ended run that the caller has received; later ones are returned.
-	LastSeen uint64
+	// LastOutcome is the number of the last ended run that the caller has received; later ones are returned.
+	LastOutcome uint64
 	// LeaseEnd is a time on the worker's clock; zero does not extend the lease.
 	LeaseEnd time.Duration
 	// Wait is how long the worker may delay its reply until a run ends.
@@ -65,11 +65,11 @@
 
 // HostReply is the part that all replies of a worker have in common. Born is the start time of its incarnation.
 type HostReply struct {
-	Clock time.Duration
-	Born  int64
+	Clock     time.Duration
+	StartTime int64
 	// Fenced and OtherLife are the reasons for which a call has no effect: a higher fencing token, or a restart.
-	Fenced    bool
-	OtherLife bool
+	Fenced           bool
+	OtherIncarnation bool
 }
 
 // RunningRun is a run that has not ended on the worker. Progress is a percentage.
@@ -86,8 +86,8 @@
 	Reason string
 }
 
-// HoldReply is the reply to a hold, with the worker's runs.
-type HoldReply struct {
+// PollReply is the reply to a hold, with the worker's runs.
+type PollReply struct {
 	HostReply
 	Running []RunningRun
 	Ended   []EndedRun
@@ -97,7 +97,7 @@
 type HostCalls interface {
 	Start(ctx context.Context, a HostAddress, s HostStart) (StartVerdict, HostReply, error)
 	Stop(ctx context.Context, a HostAddress, key contract.RunKey, token uint64) (HostReply, error)
-	Hold(ctx context.Context, a HostAddress, h HostHold) (HoldReply, error)
-	// Forget closes the idle connections to a worker.
-	Forget(a HostAddress)
+	Poll(ctx context.Context, a HostAddress, h HostPoll) (PollReply, error)
+	// CloseIdleConnections closes the idle connections to a worker.
+	CloseIdleConnections(a HostAddress)
 }
--- a/link/inflight.go
+++ b/link/inflight.go
@@ -2,9 +2,9 @@
 
 import "github.com/cicadadale/cicadadale/machine"
 
-// InFlight reports whether any start to a worker is waiting for its reply. Such a worker must be polled often, since
+// HasStartsInFlight reports whether any start to a worker is waiting for its reply. Such a worker must be polled often, since
 // its status reports show whether these tasks are still running.
-func (l *Workers) InFlight(id machine.WorkerID) bool {
+func (l *Workers) HasStartsInFlight(id machine.WorkerID) bool {
 	l.mu.RLock()
 	w, ok := l.links[id]
 	l.mu.RUnlock()
--- a/link/peer.go
+++ b/link/peer.go
@@ -53,16 +53,16 @@
 	Now     func() time.Time
 	Logger  *slog.Logger
 	Metrics metrics.Registry
-	// Sent is called before an envelope is sent.
-	Sent func(vm string, now time.Time)
-	// Acked is called when a peer has acknowledged an envelope, with the time at which it was sent.
-	Acked func(vm string, sent time.Time)
-	// Stamped is called with the peer's timestamp in an acknowledgement.
-	Stamped func(vm string, timestamp uint64)
-	// Replaced is called when a connection has ended, so that replies to what was sent over it may never arrive.
-	Replaced func(vm string)
-	// Refused is called when a peer refuses this incarnation permanently.
-	Refused func(vm string)
+	// OnSent is called before an envelope is sent.
+	OnSent func(vm string, now time.Time)
+	// OnAck is called when a peer has acknowledged an envelope, with the time at which it was sent.
+	OnAck func(vm string, sent time.Time)
+	// OnEchoedTimestamp is called with the peer's timestamp in an acknowledgement.
+	OnEchoedTimestamp func(vm string, timestamp uint64)
+	// OnDisconnect is called when a connection has ended, so that replies to what was sent over it may never arrive.
+	OnDisconnect func(vm string)
+	// OnRefused is called when a peer refuses this incarnation permanently.
+	OnRefused func(vm string)
 	// Timeline may be nil.
 	Timeline *timeline.Ring
 }
@@ -169,14 +169,14 @@
 	for ctx.Err() == nil {
 		err := p.serve(ctx)
 		p.setOpen(false)
-		if p.o.Replaced != nil {
-			p.o.Replaced(p.vm)
+		if p.o.OnDisconnect != nil {
+			p.o.OnDisconnect(p.vm)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if drpcerr.Code(err) == codeRefused && p.o.Refused != nil {
-			p.o.Refused(p.vm)
+		if drpcerr.Code(err) == codeRefused && p.o.OnRefused != nil {
+			p.o.OnRefused(p.vm)
 		}
 		p.counter(metric.PeerLinksReplaced).Inc(1)
 		p.o.Timeline.Record(timeline.Event{Kind: timeline.LinkReplaced, Peer: p.vm, Detail: errorText(err)})
@@ -256,8 +256,8 @@
 func (p *Peer) sendLoop(ctx context.Context, stream api.DRPCPeer_ExchangeClient, failed <-chan error) error {
 	for {
 		if env := p.nextEnvelope(); env != nil {
-			if p.o.Sent != nil {
-				p.o.Sent(p.vm, p.o.Now())
+			if p.o.OnSent != nil {
+				p.o.OnSent(p.vm, p.o.Now())
 			}
 			if err := stream.Send(env); err != nil {
 				return firstError(failed, err)
@@ -324,11 +324,11 @@
 	return env
 }
 
-func (p *Peer) isSilent(now time.Time) bool { return p.Stuck(now) > ackTimeout }
+func (p *Peer) isSilent(now time.Time) bool { return p.AckDelay(now) > ackTimeout }
 
-// Stuck returns the time since the oldest unacknowledged envelope was sent or the last acknowledgement arrived,
+// AckDelay returns the time since the oldest unacknowledged envelope was sent or the last acknowledgement arrived,
 // whichever is later.
-func (p *Peer) Stuck(now time.Time) time.Duration {
+func (p *Peer) AckDelay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.unacked) == 0 {
@@ -349,8 +349,8 @@
 			return
 		}
 		p.acknowledge(env.GetAck(), p.o.Now())
-		if timestamp := env.GetStampMs(); timestamp != 0 && p.o.Stamped != nil {
-			p.o.Stamped(p.vm, timestamp)
+		if timestamp := env.GetStampMs(); timestamp != 0 && p.o.OnEchoedTimestamp != nil {
+			p.o.OnEchoedTimestamp(p.vm, timestamp)
 		}
 	}
 }
@@ -366,8 +366,8 @@
 	}
 	p.lastAck = now
 	p.mu.Unlock()
-	if !sent.IsZero() && p.o.Acked != nil {
-		p.o.Acked(p.vm, sent)
+	if !sent.IsZero() && p.o.OnAck != nil {
+		p.o.OnAck(p.vm, sent)
 	}
 }
 
--- a/link/peer_test.go
+++ b/link/peer_test.go
@@ -87,7 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
 		received := make(chan time.Time, 100)
-		server, err := link.ServePeers(l, func(*api.Envelope) link.Reception {
+		server, err := link.ServePeers(l, func(*api.Envelope) link.HandlerResult {
 			received <- time.Now()
 			return link.Accepted
 		}, nil)
--- a/link/peerserver.go
+++ b/link/peerserver.go
@@ -26,12 +26,12 @@
 	peerIdleTimeout = 5 * time.Second
 )
 
-// Reception is the handler's decision on a peer's envelope.
-type Reception uint8
+// HandlerResult is the handler's decision on a peer's envelope.
+type HandlerResult uint8
 
 // Receptions. Only an accepted envelope is acknowledged.
 const (
-	Accepted Reception = iota
+	Accepted HandlerResult = iota
 	// Ignored envelopes come from a VM that is not on the VM list; it may be listed again.
 	Ignored
 	// Refused envelopes come from an incarnation that is considered dead.
@@ -39,7 +39,7 @@
 )
 
 // PeerHandler handles the messages of one envelope, in order. It must not block.
-type PeerHandler func(env *api.Envelope) Reception
+type PeerHandler func(env *api.Envelope) HandlerResult
 
 // PeerServer accepts the links of other entry VMs.
 type PeerServer struct {
--- a/link/wire.go
+++ b/link/wire.go
@@ -46,8 +46,8 @@
 
 // Reasons for which the worker ended a task early. Such a task has run at least in part.
 const (
-	StoppedByHome = "stopped"
-	StoppedLapsed = "lease lapsed"
+	StoppedByHome       = "stopped"
+	StoppedLeaseExpired = "lease lapsed"
 )
 
 // WorkerStatus is the reply to GET /v1/status.
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -118,7 +118,7 @@
 		}
 		sent := p.o.Now()
 		callCtx, cancel := context.WithTimeout(ctx, poll.Wait+p.pollTimeout(t))
-		reply, err := p.o.Calls.Hold(callCtx, t.address, poll)
+		reply, err := p.o.Calls.Poll(callCtx, t.address, poll)
 		cancel()
 		if !p.handlePollReply(t, sent, reply, err) {
 			pause(ctx, pollRetry, nil)
@@ -162,11 +162,11 @@
 }
 
 // nextPoll returns the next poll, and whether it has to be sent at once.
-func (p *Pool) nextPoll(t *ownedHost) (link.HostHold, bool) {
+func (p *Pool) nextPoll(t *ownedHost) (link.HostPoll, bool) {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := link.HostHold{Token: t.host.Token, LastSeen: t.host.LastSeen}
+	h := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastSeen}
 	if len(t.runs) == 0 {
 		return h, t.unackedOutcomes
 	}
@@ -182,21 +182,21 @@
 }
 
 // probe reads the clock of a worker that is not owned, without affecting its owner.
-func (p *Pool) probe(ctx context.Context, t *ownedHost) (link.HoldReply, error) {
+func (p *Pool) probe(ctx context.Context, t *ownedHost) (link.PollReply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := p.o.Calls.Hold(callCtx, t.address, link.HostHold{})
+	reply, err := p.o.Calls.Poll(callCtx, t.address, link.HostPoll{})
 	if err != nil {
-		p.o.Calls.Forget(t.address)
+		p.o.Calls.CloseIdleConnections(t.address)
 	}
 	return reply, err
 }
 
 // startTimeOf returns the start time of a worker's incarnation. The reply to a fenced poll does not contain it; the
 // worker's listing does.
-func (p *Pool) startTimeOf(t *ownedHost, probed link.HoldReply) int64 {
-	if probed.Born != 0 {
-		return probed.Born
+func (p *Pool) startTimeOf(t *ownedHost, probed link.PollReply) int64 {
+	if probed.StartTime != 0 {
+		return probed.StartTime
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,14 +204,14 @@
 }
 
 // acquire makes this VM the owner of a worker that has replied to a probe.
-func (p *Pool) acquire(ctx context.Context, t *ownedHost, probed link.HoldReply) bool {
+func (p *Pool) acquire(ctx context.Context, t *ownedHost, probed link.PollReply) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	token := newToken(p.startTimeOf(t, probed), probed.Clock)
-	reply, err := p.o.Calls.Hold(callCtx, t.address, link.HostHold{Token: token})
-	if err != nil || reply.Fenced || reply.OtherLife {
+	reply, err := p.o.Calls.Poll(callCtx, t.address, link.HostPoll{Token: token})
+	if err != nil || reply.Fenced || reply.OtherIncarnation {
 		p.o.Logger.Info("worker was not acquired", "worker", t.address.Worker, "token", token, "fenced", reply.Fenced,
-			"other_life", reply.OtherLife, "error", err)
+			"other_life", reply.OtherIncarnation, "error", err)
 		return false
 	}
 	now := p.o.Now()
@@ -221,10 +221,10 @@
 		p.mu.Unlock()
 		return false
 	}
-	if t.startTime != 0 && reply.Born != t.startTime {
+	if t.startTime != 0 && reply.StartTime != t.startTime {
 		t.host.Restarted(reply.Clock, now, p.o.Lease)
 	}
-	t.startTime = reply.Born
+	t.startTime = reply.StartTime
 	t.host.SetClock(reply.Clock, now)
 	t.host.Token = token
 	t.unackedOutcomes = len(reply.Ended) > 0
@@ -236,13 +236,13 @@
 		"ended", len(reply.Ended))
 	p.apply(fx)
 	p.o.Takeover(contract.Takeover{
-		Worker: t.address.Worker, Born: reply.Born, Token: token, Runs: found,
+		Worker: t.address.Worker, Born: reply.StartTime, Token: token, Runs: found,
 	})
 	return true
 }
 
 // adopt registers the runs found on a worker, for their homes to claim. p.mu is held.
-func (p *Pool) adopt(t *ownedHost, reply link.HoldReply, now time.Time) []contract.RunKey {
+func (p *Pool) adopt(t *ownedHost, reply link.PollReply, now time.Time) []contract.RunKey {
 	var found []contract.RunKey
 	for _, running := range reply.Running {
 		found = append(found, running.Key)
@@ -293,7 +293,7 @@
 }
 
 // handlePollReply processes the reply to a poll. It reports whether the poll succeeded.
-func (p *Pool) handlePollReply(t *ownedHost, sent time.Time, reply link.HoldReply, err error) bool {
+func (p *Pool) handlePollReply(t *ownedHost, sent time.Time, reply link.PollReply, err error) bool {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -305,7 +305,7 @@
 		return false
 	}
 	if err != nil {
-		p.o.Calls.Forget(t.address)
+		p.o.Calls.CloseIdleConnections(t.address)
 		t.host.Unanswered(now.Add(suspectTime))
 		if t.pollFailed {
 			t.host.Stalled(now)
@@ -315,11 +315,11 @@
 		return false
 	}
 	t.pollFailed = false
-	if reply.OtherLife {
+	if reply.OtherIncarnation {
 		p.handleOtherWorker(t, now, &fx)
 		return false
 	}
-	if reply.Born != 0 && reply.Born != t.startTime {
+	if reply.StartTime != 0 && reply.StartTime != t.startTime {
 		p.handleRestart(t, reply, now)
 	}
 	t.host.SetClock(reply.Clock, now)
@@ -335,10 +335,10 @@
 
 // handleRestart records that a worker has been restarted. The lists in its reply show which runs belong to the new
 // incarnation; the others have ended. p.mu is held.
-func (p *Pool) handleRestart(t *ownedHost, reply link.HoldReply, now time.Time) {
-	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.Born, "last_born", t.startTime,
+func (p *Pool) handleRestart(t *ownedHost, reply link.PollReply, now time.Time) {
+	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.StartTime, "last_born", t.startTime,
 		"runs", len(t.runs), "running", len(reply.Running))
-	t.startTime = reply.Born
+	t.startTime = reply.StartTime
 	t.host.Restarted(reply.Clock, now, p.o.Lease)
 }
 
@@ -357,7 +357,7 @@
 }
 
 // recordOutcomes records the outcomes of runs. p.mu is held.
-func (p *Pool) recordOutcomes(t *ownedHost, reply link.HoldReply, now time.Time, fx *effects) {
+func (p *Pool) recordOutcomes(t *ownedHost, reply link.PollReply, now time.Time, fx *effects) {
 	t.unackedOutcomes = len(reply.Ended) > 0
 	for _, e := range reply.Ended {
 		t.host.LastSeen = max(t.host.LastSeen, e.Number)
@@ -396,7 +396,7 @@
 const kindSpeedWeight = 0.05
 
 // reconcileRuns compares the worker's list of runs with the pool's. p.mu is held.
-func (p *Pool) reconcileRuns(t *ownedHost, reply link.HoldReply, sent, now time.Time, fx *effects) {
+func (p *Pool) reconcileRuns(t *ownedHost, reply link.PollReply, sent, now time.Time, fx *effects) {
 	listed := make(map[contract.RunKey]int, len(reply.Running))
 	for _, running := range reply.Running {
 		listed[running.Key] = running.Progress
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -59,11 +59,11 @@
 	return c.hosts[a.Worker].Stop(ctx, k, token)
 }
 
-func (c *hostCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
+func (c *hostCalls) Poll(ctx context.Context, a link.HostAddress, h link.HostPoll) (link.PollReply, error) {
 	return c.hosts[a.Worker].Hold(ctx, h)
 }
 
-func (c *hostCalls) Forget(link.HostAddress) {}
+func (c *hostCalls) CloseIdleConnections(link.HostAddress) {}
 
 // fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job.
 type fixture struct {
@@ -221,9 +221,9 @@
 // delayedCalls answers polls after a round trip.
 type delayedCalls struct{ *hostCalls }
 
-func (c delayedCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
+func (c delayedCalls) Poll(ctx context.Context, a link.HostAddress, h link.HostPoll) (link.PollReply, error) {
 	time.Sleep(5 * time.Millisecond)
-	return c.hostCalls.Hold(ctx, a, h)
+	return c.hostCalls.Poll(ctx, a, h)
 }
 
 // Guards against a run that is declared ended when the reply to an early poll, made before its start arrived, is
@@ -242,7 +242,7 @@
 		b.pool.mu.Lock()
 		host := b.pool.hosts["w0"]
 		b.pool.mu.Unlock()
-		early := link.HoldReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), Born: b.list[0].Born}}
+		early := link.PollReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].Born}}
 		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
 		require.Equal(t, contract.RunStarted, b.state(key))
 	})
@@ -261,7 +261,7 @@
 		for died := time.Now(); time.Since(died) < 1300*time.Millisecond; time.Sleep(100 * time.Millisecond) {
 			b.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
 		}
-		reply, err := b.calls.hosts["w0"].Hold(context.Background(), link.HostHold{Token: 1 << 62})
+		reply, err := b.calls.hosts["w0"].Hold(context.Background(), link.HostPoll{Token: 1 << 62})
 		require.NoError(t, err)
 		for _, r := range reply.Running {
 			require.NotEqual(t, lost, r.Key)
--- a/pool/start.go
+++ b/pool/start.go
@@ -83,12 +83,12 @@
 		return
 	case link.StartFenced:
 		p.loseOwnership(t, now, fx)
-	case link.StartNoRoom:
+	case link.StartNoCapacity:
 		t.host.RejectedAsFull(now.Add(capacityRetry))
 		t.wake()
 	case link.StartUnhealthy:
 		t.host.Failed(now)
-	case link.StartOtherLife:
+	case link.StartOtherIncarnation:
 		t.host.Stalled(now)
 	}
 	p.requeue(r, fx)
@@ -97,7 +97,7 @@
 // handleStartError processes a start call without a reply. p.mu is held.
 func (p *Pool) handleStartError(s startEffect, err error, now time.Time, fx *effects) {
 	r, t := s.run, s.host
-	p.o.Calls.Forget(t.address)
+	p.o.Calls.CloseIdleConnections(t.address)
 	t.host.Unanswered(now.Add(suspectTime))
 	notStarted := errorx.HasTrait(err, fault.ProvenNotStarted)
 	p.o.Logger.Warn("worker did not answer a start", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
@@ -120,11 +120,11 @@
 		p.mu.Unlock()
 		return
 	}
-	poll := link.HostHold{Token: t.host.Token, LastSeen: t.host.LastSeen}
+	poll := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastSeen}
 	p.mu.Unlock()
 	sent := p.o.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
-	reply, err := p.o.Calls.Hold(ctx, t.address, poll)
+	reply, err := p.o.Calls.Poll(ctx, t.address, poll)
 	cancel()
 	p.handlePollReply(t, sent, reply, err)
 	p.mu.Lock()
@@ -174,7 +174,7 @@
 		return true
 	}
 	if err != nil {
-		p.o.Calls.Forget(t.address)
+		p.o.Calls.CloseIdleConnections(t.address)
 		return false
 	}
 	t.host.SetClock(reply.Clock, now)
--- a/standin/control.go
+++ b/standin/control.go
@@ -107,7 +107,7 @@
 		rate, leaseEnd, reason := w.rate(t)
 		now := time.Now()
 		if reason == "" && !now.Before(leaseEnd) {
-			reason = link.StoppedLapsed
+			reason = link.StoppedLeaseExpired
 		}
 		if reason != "" || remaining <= 0 {
 			return reason, false
--- a/standin/control_test.go
+++ b/standin/control_test.go
@@ -114,5 +114,5 @@
 	_, _, replies := startTask(t, 20*time.Millisecond)
 	final := <-replies
 	require.Equal(t, contract.OutcomeFailed, final.Outcome)
-	require.Equal(t, link.StoppedLapsed, final.Detail)
+	require.Equal(t, link.StoppedLeaseExpired, final.Detail)
 }
--- a/standin/hostserver.go
+++ b/standin/hostserver.go
@@ -92,7 +92,7 @@
 func taskName(k contract.RunKey) string { return fmt.Sprintf("%s.0.%d.%d", k.Batch, k.Step, k.Index) }
 
 var startReasons = map[link.StartVerdict]string{
-	link.StartFenced: "fence", link.StartSuperseded: "old", link.StartExpired: "late", link.StartNoRoom: "room",
+	link.StartFenced: "fence", link.StartSuperseded: "old", link.StartExpired: "late", link.StartNoCapacity: "room",
 }
 
 func (s *HostServer) start(ctx context.Context, c *app.RequestContext, call hostCall) {
@@ -124,12 +124,12 @@
 
 func (s *HostServer) stop(ctx context.Context, c *app.RequestContext, call hostCall) {
 	reply, err := s.host.Stop(ctx, call.key(), call.Token)
-	s.answer(c, link.HoldReply{HostReply: reply}, err)
+	s.answer(c, link.PollReply{HostReply: reply}, err)
 }
 
 func (s *HostServer) hold(ctx context.Context, c *app.RequestContext, call hostCall) {
-	reply, err := s.host.Hold(ctx, link.HostHold{
-		Token: call.Token, LastSeen: call.LastSeen, LeaseEnd: time.Duration(call.Until) * time.Millisecond,
+	reply, err := s.host.Hold(ctx, link.HostPoll{
+		Token: call.Token, LastOutcome: call.LastSeen, LeaseEnd: time.Duration(call.Until) * time.Millisecond,
 		Wait: time.Duration(call.Wait) * time.Millisecond,
 	})
 	s.answer(c, reply, err)
@@ -137,12 +137,12 @@
 
 var outcomeNames = map[contract.RunState]string{contract.RunDone: "done", contract.RunFailed: "failed"}
 
-func (s *HostServer) answer(c *app.RequestContext, reply link.HoldReply, err error) {
+func (s *HostServer) answer(c *app.RequestContext, reply link.PollReply, err error) {
 	if err != nil {
 		dropConnection(c)
 		return
 	}
-	out := hostAnswer{Clock: reply.Clock.Milliseconds(), Born: reply.Born}
+	out := hostAnswer{Clock: reply.Clock.Milliseconds(), Born: reply.StartTime}
 	if reply.Fenced {
 		out.Reason = "fence"
 		c.JSON(http.StatusConflict, out)
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -162,7 +162,7 @@
 func (h *RunHost) clock() time.Duration { return time.Since(h.startTime) }
 
 func (h *RunHost) reply() link.HostReply {
-	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), Born: h.startTime.UnixMilli()}
+	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), StartTime: h.startTime.UnixMilli()}
 }
 
 // admit checks a call's fencing token, and records it if it is the highest. h.mu must be held.
@@ -236,7 +236,7 @@
 	}
 	need := h.need(s.Key)
 	if !h.capacity.Minus(h.used).Fits(need) {
-		return link.StartNoRoom, reply
+		return link.StartNoCapacity, reply
 	}
 	r := &hostRun{key: s.Key, started: time.Now(), outcome: h.work(s.Key)}
 	h.used = h.used.Plus(need)
@@ -331,20 +331,20 @@
 }
 
 // Hold extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
-func (h *RunHost) Hold(ctx context.Context, c link.HostHold) (link.HoldReply, error) {
+func (h *RunHost) Hold(ctx context.Context, c link.HostPoll) (link.PollReply, error) {
 	if !h.deliver(nil) {
-		return link.HoldReply{}, h.awaitTimeout(ctx)
+		return link.PollReply{}, h.awaitTimeout(ctx)
 	}
 	h.mu.Lock()
 	if !h.admit(c.Token) {
 		defer h.mu.Unlock()
 		// As on the platform, the answer to a fenced call contains the clock but not the start time.
-		return link.HoldReply{HostReply: link.HostReply{Clock: h.reply().Clock, Fenced: true}}, nil
+		return link.PollReply{HostReply: link.HostReply{Clock: h.reply().Clock, Fenced: true}}, nil
 	}
 	if c.LeaseEnd > 0 {
 		h.extend(c.LeaseEnd)
 	}
-	for len(h.endedRuns) > 0 && h.endedRuns[0].Number <= c.LastSeen {
+	for len(h.endedRuns) > 0 && h.endedRuns[0].Number <= c.LastOutcome {
 		h.endedRuns = h.endedRuns[1:]
 	}
 	if len(h.endedRuns) == 0 && c.Wait > 0 {
@@ -354,20 +354,20 @@
 		case <-changed:
 		case <-time.After(c.Wait):
 		case <-ctx.Done():
-			return link.HoldReply{}, fault.InDoubt.New("caller of worker %s stopped waiting", h.id)
+			return link.PollReply{}, fault.InDoubt.New("caller of worker %s stopped waiting", h.id)
 		}
 		h.mu.Lock()
 	}
 	defer h.mu.Unlock()
 	if h.down {
-		return link.HoldReply{}, fault.InDoubt.New("worker %s has crashed", h.id)
+		return link.PollReply{}, fault.InDoubt.New("worker %s has crashed", h.id)
 	}
 	return h.list(), nil
 }
 
 // list returns the running and ended runs. h.mu must be held.
-func (h *RunHost) list() link.HoldReply {
-	out := link.HoldReply{HostReply: h.reply()}
+func (h *RunHost) list() link.PollReply {
+	out := link.PollReply{HostReply: h.reply()}
 	for _, r := range h.running {
 		progress := 0
 		if !r.outcome.Stalls && r.outcome.Takes > 0 {
