--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -23,7 +23,7 @@
 	}
 	if r.Outcome == contract.OutcomeUnknown {
 		// A worker that stops answering is lost or paused, which is never the fault of a kind.
-		d.updateHealth(w, machine.Evidence{Failed: true, Proven: true}, now)
+		d.updateHealth(w, machine.StartOutcome{Failed: true, KindSucceedsElsewhere: true}, now)
 		return
 	}
 	kind := a.Item.Kind
@@ -36,8 +36,8 @@
 	failed := r.Outcome != contract.OutcomeDone
 	cause := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
 	d.retract(cause, now)
-	d.updateHealth(w, machine.Evidence{
-		Failed: failed, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
+	d.updateHealth(w, machine.StartOutcome{
+		Failed: failed, KindSucceedsElsewhere: cause.Proven, KindFailsElsewhere: cause.Explained, Expected: cause.Expected,
 	}, now)
 	if failed && kind.FailsEverywhere(d.workersOf(w.Spec().Service), now) {
 		d.failWaiting(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
@@ -51,14 +51,14 @@
 		return
 	}
 	cause := sched.observeStart(a, true, now)
-	d.updateHealth(w, machine.Evidence{
-		Rejected: true, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
+	d.updateHealth(w, machine.StartOutcome{
+		Rejected: true, KindSucceedsElsewhere: cause.Proven, KindFailsElsewhere: cause.Explained, Expected: cause.Expected,
 	}, now)
 }
 
 // updateHealth records evidence about a worker and reports a change of its health, so that the slot allocators learn of
 // it at once.
-func (d *Dispatcher) updateHealth(w *machine.Worker, e machine.Evidence, now time.Time) {
+func (d *Dispatcher) updateHealth(w *machine.Worker, e machine.StartOutcome, now time.Time) {
 	if w.Observe(e, now) {
 		d.healthChanged(w, now)
 	}
--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -360,7 +360,7 @@
 		workers := slices.Clone(c.d.store.workers)
 		for i := range workers {
 			if workers[i].Worker == id {
-				workers[i].Born = born
+				workers[i].StartTime = born
 			}
 		}
 		c.d.store.workers = workers
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -310,7 +310,7 @@
 	d.hosts[id] = h
 	d.store.update(func() {
 		d.store.workers = append(d.store.workers, machine.Listing{
-			Worker: id, Backend: testBackend, Address: id, Zone: zone, Born: h.Born(), Capacity: capacity,
+			Worker: id, Backend: testBackend, Address: id, Zone: zone, StartTime: h.Born(), Capacity: capacity,
 		})
 	})
 }
--- a/edge/workerfeed.go
+++ b/edge/workerfeed.go
@@ -232,7 +232,7 @@
 
 func encodeListing(l machine.Listing) *api.WorkerListing {
 	return &api.WorkerListing{
-		Worker: l.Worker, Backend: l.Backend, Address: l.Address, Zone: l.Zone, Born: l.Born,
+		Worker: l.Worker, Backend: l.Backend, Address: l.Address, Zone: l.Zone, Born: l.StartTime,
 		CpuMillis: uint32(max(l.Capacity.CPUMillis, 0)), MemoryMb: uint32(max(l.Capacity.MemoryMB, 0)),
 		Gpus: uint32(max(l.Capacity.GPUs, 0)), Labels: l.Labels, Draining: l.Draining,
 	}
@@ -240,7 +240,7 @@
 
 func decodeListing(m *api.WorkerListing) machine.Listing {
 	return machine.Listing{
-		Worker: m.GetWorker(), Backend: m.GetBackend(), Address: m.GetAddress(), Zone: m.GetZone(), Born: m.GetBorn(),
+		Worker: m.GetWorker(), Backend: m.GetBackend(), Address: m.GetAddress(), Zone: m.GetZone(), StartTime: m.GetBorn(),
 		Capacity: machine.Resources{
 			CPUMillis: int(m.GetCpuMillis()), MemoryMB: int(m.GetMemoryMb()), GPUs: int(m.GetGpus()),
 		},
--- a/machine/example_test.go
+++ b/machine/example_test.go
@@ -15,7 +15,7 @@
 	w.ObserveStatus(1, 0, now)
 	fmt.Println(w.UsableSlots(now))
 	for range 4 {
-		w.Observe(machine.Evidence{Failed: true, Proven: true}, now)
+		w.Observe(machine.StartOutcome{Failed: true, KindSucceedsElsewhere: true}, now)
 	}
 	fmt.Println(w.HealthAt(now), w.UsableSlots(now))
 	// Output:
--- a/machine/health.go
+++ b/machine/health.go
@@ -98,15 +98,15 @@
 	return m
 }
 
-// Evidence is the outcome of one start, as it counts for the health of the worker.
-type Evidence struct {
+// StartOutcome is the outcome of one start, as it counts for the health of the worker.
+type StartOutcome struct {
 	Failed   bool
 	Rejected bool
-	// Proven means that the same kind of work succeeds on other workers. Without it a failure does not count towards a
+	// KindSucceedsElsewhere means that the same kind of work succeeds on other workers. Without it a failure does not count towards a
 	// quarantine.
-	Proven bool
-	// Explained means that the same kind of work fails on several workers and succeeds on none.
-	Explained bool
+	KindSucceedsElsewhere bool
+	// KindFailsElsewhere means that the same kind of work fails on several workers and succeeds on none.
+	KindFailsElsewhere bool
 	// Expected is the failure rate of the same kind of work on other workers.
 	Expected float64
 }
@@ -130,7 +130,7 @@
 func (h *Health) State() HealthState { return h.state }
 
 // Observe applies the outcome of a start and reports whether the state has changed.
-func (h *Health) Observe(e Evidence, now time.Time) bool {
+func (h *Health) Observe(e StartOutcome, now time.Time) bool {
 	before := h.state
 	h.tick(now)
 	switch {
@@ -146,16 +146,16 @@
 	return h.state != before
 }
 
-func (h *Health) fail(e Evidence, now time.Time) {
+func (h *Health) fail(e StartOutcome, now time.Time) {
 	weight := 1.0
 	if e.Rejected {
 		weight = rejectionScore
 	}
-	if e.Explained {
+	if e.KindFailsElsewhere {
 		return
 	}
 	h.lastFailure = now
-	if !e.Proven {
+	if !e.KindSucceedsElsewhere {
 		h.unproven++
 		if h.unproven >= unprovenLimit {
 			h.fire(healthSuspected)
@@ -180,9 +180,9 @@
 	}
 }
 
-func (h *Health) probe(e Evidence, now time.Time) {
+func (h *Health) probe(e StartOutcome, now time.Time) {
 	if e.Failed || e.Rejected {
-		if e.Proven {
+		if e.KindSucceedsElsewhere {
 			h.quarantine(healthProbeFailed, now)
 		}
 		return
--- a/machine/health_test.go
+++ b/machine/health_test.go
@@ -11,8 +11,8 @@
 var epoch = time.Unix(1_000_000, 0)
 
 var (
-	success = Evidence{Proven: true}
-	failure = Evidence{Failed: true, Proven: true}
+	success = StartOutcome{KindSucceedsElsewhere: true}
+	failure = StartOutcome{Failed: true, KindSucceedsElsewhere: true}
 )
 
 // Guards against a worker that fails everything and keeps receiving work.
@@ -32,8 +32,8 @@
 func TestFailingKindDoesNotQuarantine(t *testing.T) {
 	var unproven, expected Health
 	for range 1000 {
-		unproven.Observe(Evidence{Failed: true}, epoch)
-		expected.Observe(Evidence{Failed: true, Proven: true, Expected: 1}, epoch)
+		unproven.Observe(StartOutcome{Failed: true}, epoch)
+		expected.Observe(StartOutcome{Failed: true, KindSucceedsElsewhere: true, Expected: 1}, epoch)
 	}
 	require.NotEqual(t, Quarantined, unproven.State())
 	require.Equal(t, Healthy, expected.State())
@@ -81,13 +81,13 @@
 			case 1:
 				h.Observe(failure, now)
 			case 2:
-				h.Observe(Evidence{Rejected: true, Proven: true}, now)
+				h.Observe(StartOutcome{Rejected: true, KindSucceedsElsewhere: true}, now)
 			case 3:
 				h.Retract(1, now)
 			case 4:
 				h.Tick(now)
 			default:
-				h.Observe(Evidence{Failed: true}, now)
+				h.Observe(StartOutcome{Failed: true}, now)
 			}
 			n := h.Slots(8, now)
 			require.True(t, n >= 0 && n <= 8)
--- a/machine/host.go
+++ b/machine/host.go
@@ -27,10 +27,10 @@
 	Listing Listing
 	// Token is the fencing token of this ownership; zero until the worker has been acquired.
 	Token uint64
-	// LastSeen is the number of the last outcome that the worker may delete.
-	LastSeen uint64
-	used     Resources
-	runs     int
+	// LastOutcome is the number of the last outcome that the worker may delete.
+	LastOutcome uint64
+	used        Resources
+	runs        int
 
 	clock     time.Duration
 	clockAt   time.Time
@@ -99,7 +99,7 @@
 func (h *Host) Restarted(reading time.Duration, at time.Time, longestLease time.Duration) {
 	h.clock, h.clockAt, h.contacted = reading, at, at
 	h.leaseEnd = reading + longestLease
-	h.LastSeen = 0
+	h.LastOutcome = 0
 }
 
 // ClockAt estimates the worker's clock at a local time.
@@ -113,9 +113,9 @@
 	return end
 }
 
-// LapsedBy returns the time by which the leases of all tasks ordered so far have certainly expired if the worker is
+// LeasesExpireBy returns the time by which the leases of all tasks ordered so far have certainly expired if the worker is
 // not contacted again.
-func (h *Host) LapsedBy() time.Time {
+func (h *Host) LeasesExpireBy() time.Time {
 	left := h.leaseEnd - h.clock
 	return h.clockAt.Add(left + time.Duration(float64(left)*2*clockDrift) + clockMargin)
 }
@@ -146,17 +146,17 @@
 	return true
 }
 
-// Unanswered records a call without a reply: the worker receives no tasks until the given time or its next reply.
-func (h *Host) Unanswered(until time.Time) { h.suspectUntil = until }
+// MarkSuspectUntil records a call without a reply: the worker receives no tasks until the given time or its next reply.
+func (h *Host) MarkSuspectUntil(until time.Time) { h.suspectUntil = until }
 
-// Stalled suspends a worker that does not execute its tasks or does not respond.
-func (h *Host) Stalled(now time.Time) { h.suspend(now) }
+// Suspend suspends a worker that does not execute its tasks or does not respond.
+func (h *Host) Suspend(now time.Time) { h.suspend(now) }
 
 func (h *Host) suspend(now time.Time) {
 	h.suspension = min(max(2*h.suspension, minSuspension), maxSuspension)
 	h.suspendUntil = now.Add(h.suspension)
 }
 
-// RejectedAsFull records that the worker has less free capacity than assumed; it receives no tasks until the given
+// MarkFullUntil records that the worker has less free capacity than assumed; it receives no tasks until the given
 // time.
-func (h *Host) RejectedAsFull(until time.Time) { h.fullUntil = until }
+func (h *Host) MarkFullUntil(until time.Time) { h.fullUntil = until }
--- a/machine/listing.go
+++ b/machine/listing.go
@@ -30,11 +30,11 @@
 	Backend string
 	Address string
 	Zone    string
-	// Born is the start time of this incarnation; a worker that restarts under the same name has another one.
-	Born     int64
-	Capacity Resources
-	Labels   []string
-	Draining bool
+	// StartTime is the start time of this incarnation; a worker that restarts under the same name has another one.
+	StartTime int64
+	Capacity  Resources
+	Labels    []string
+	Draining  bool
 }
 
 // CanHold reports whether the idle worker can run a task of that size that requires the label, if any.
@@ -48,5 +48,5 @@
 // Equal reports whether both entries have the same content.
 func (l Listing) Equal(o Listing) bool {
 	return l.Worker == o.Worker && l.Backend == o.Backend && l.Address == o.Address && l.Zone == o.Zone &&
-		l.Born == o.Born && l.Capacity == o.Capacity && l.Draining == o.Draining && slices.Equal(l.Labels, o.Labels)
+		l.StartTime == o.StartTime && l.Capacity == o.Capacity && l.Draining == o.Draining && slices.Equal(l.Labels, o.Labels)
 }
--- a/machine/worker.go
+++ b/machine/worker.go
@@ -134,7 +134,7 @@
 }
 
 // Observe applies the outcome of a start and reports whether the worker's health has changed.
-func (w *Worker) Observe(e Evidence, now time.Time) bool {
+func (w *Worker) Observe(e StartOutcome, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.health.Observe(e, now)
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -166,7 +166,7 @@
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastSeen}
+	h := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastOutcome}
 	if len(t.runs) == 0 {
 		return h, t.unackedOutcomes
 	}
@@ -200,7 +200,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(t.startTime, t.host.Listing.Born)
+	return max(t.startTime, t.host.Listing.StartTime)
 }
 
 // acquire makes this VM the owner of a worker that has replied to a probe.
@@ -263,7 +263,7 @@
 	}
 	for _, e := range reply.Ended {
 		found = append(found, e.Key)
-		t.host.LastSeen = max(t.host.LastSeen, e.Number)
+		t.host.LastOutcome = max(t.host.LastOutcome, e.Number)
 		if _, ok := p.runs[e.Key]; ok {
 			continue
 		}
@@ -306,9 +306,9 @@
 	}
 	if err != nil {
 		p.o.Calls.CloseIdleConnections(t.address)
-		t.host.Unanswered(now.Add(suspectTime))
+		t.host.MarkSuspectUntil(now.Add(suspectTime))
 		if t.pollFailed {
-			t.host.Stalled(now)
+			t.host.Suspend(now)
 		}
 		t.pollFailed = true
 		p.o.Logger.Warn("worker did not answer a poll", "worker", t.address.Worker, "runs", len(t.runs), "error", err)
@@ -353,14 +353,14 @@
 		}
 	}
 	t.host.Token = 0
-	t.host.Stalled(now)
+	t.host.Suspend(now)
 }
 
 // recordOutcomes records the outcomes of runs. p.mu is held.
 func (p *Pool) recordOutcomes(t *ownedHost, reply link.PollReply, now time.Time, fx *effects) {
 	t.unackedOutcomes = len(reply.Ended) > 0
 	for _, e := range reply.Ended {
-		t.host.LastSeen = max(t.host.LastSeen, e.Number)
+		t.host.LastOutcome = max(t.host.LastOutcome, e.Number)
 		r, ok := t.runs[e.Key]
 		if !ok {
 			continue
@@ -434,7 +434,7 @@
 		"progress", progress, "since_progress", now.Sub(r.progressAt))
 	p.counter(metric.PoolRunsStalled).Inc(1)
 	r.cancelled = true
-	r.host.host.Stalled(now)
+	r.host.host.Suspend(now)
 	fx.stops = append(fx.stops, r)
 }
 
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -122,7 +122,7 @@
 		if l.Draining && !t.host.Listing.Draining {
 			p.o.Logger.Info("worker is draining; starting no new tasks", "worker", l.Worker, "runs", t.host.Runs())
 		}
-		if l.Born != t.host.Listing.Born {
+		if l.StartTime != t.host.Listing.StartTime {
 			t.wake()
 		}
 		t.host.Listing = l
@@ -448,7 +448,7 @@
 
 // sweepHost ends the runs of a worker that has not replied until their lease expired. p.mu is held.
 func (p *Pool) sweepHost(t *ownedHost, now time.Time, fx *effects) {
-	if len(t.runs) == 0 || now.Before(t.host.LapsedBy()) {
+	if len(t.runs) == 0 || now.Before(t.host.LeasesExpireBy()) {
 		return
 	}
 	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", t.host.Listing.Worker,
@@ -459,7 +459,7 @@
 		}
 		p.finish(r, contract.RunEnded, 0, fx)
 	}
-	t.host.Stalled(now)
+	t.host.Suspend(now)
 }
 
 // Owned returns the workers that this VM has acquired and still owns.
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -94,7 +94,7 @@
 			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.sizes[k.Batch]} },
 		})
 		b.calls.hosts[id] = h
-		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, Born: h.Born(), Capacity: capacity})
+		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, StartTime: h.Born(), Capacity: capacity})
 	}
 	b.pool = New(Options{
 		Backend: "s", Calls: b.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
@@ -242,7 +242,7 @@
 		b.pool.mu.Lock()
 		host := b.pool.hosts["w0"]
 		b.pool.mu.Unlock()
-		early := link.PollReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].Born}}
+		early := link.PollReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].StartTime}}
 		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
 		require.Equal(t, contract.RunStarted, b.state(key))
 	})
@@ -283,7 +283,7 @@
 		key := b.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
-		b.list[0].Born = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].Born()
 		b.pool.SetHosts(b.list)
 		time.Sleep(300 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
@@ -304,7 +304,7 @@
 		b.calls.hosts["w0"].Restart()
 		time.Sleep(2 * time.Second)
 		last.Close()
-		b.list[0].Born = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].Born()
 		next := New(b.pool.o)
 		defer next.Close()
 		next.SetHosts(b.list)
--- a/pool/start.go
+++ b/pool/start.go
@@ -84,12 +84,12 @@
 	case link.StartFenced:
 		p.loseOwnership(t, now, fx)
 	case link.StartNoCapacity:
-		t.host.RejectedAsFull(now.Add(capacityRetry))
+		t.host.MarkFullUntil(now.Add(capacityRetry))
 		t.wake()
 	case link.StartUnhealthy:
 		t.host.Failed(now)
 	case link.StartOtherIncarnation:
-		t.host.Stalled(now)
+		t.host.Suspend(now)
 	}
 	p.requeue(r, fx)
 }
@@ -98,7 +98,7 @@
 func (p *Pool) handleStartError(s startEffect, err error, now time.Time, fx *effects) {
 	r, t := s.run, s.host
 	p.o.Calls.CloseIdleConnections(t.address)
-	t.host.Unanswered(now.Add(suspectTime))
+	t.host.MarkSuspectUntil(now.Add(suspectTime))
 	notStarted := errorx.HasTrait(err, fault.ProvenNotStarted)
 	p.o.Logger.Warn("worker did not answer a start", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
 		"not_sent", notStarted, "error", err)
@@ -120,7 +120,7 @@
 		p.mu.Unlock()
 		return
 	}
-	poll := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastSeen}
+	poll := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastOutcome}
 	p.mu.Unlock()
 	sent := p.o.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -214,7 +214,7 @@
 // putEntry writes a worker's entry in the server list to the store.
 func (s *Soak) putEntry(w *worker) {
 	s.store.Put("keyed.servers", w.id, standin.EntryDocument(machine.Listing{
-		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, Born: w.host.Born(), Capacity: capacity,
+		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.Born(), Capacity: capacity,
 		Labels: []string{"a", "r1"},
 	}))
 }
--- a/standin/documents.go
+++ b/standin/documents.go
@@ -50,7 +50,7 @@
 	}
 	return mustEncode(map[string]any{
 		"service": l.Backend, "address": l.Address, "zone": l.Zone, "version": "1", "slots": slotsShown, "state": state,
-		"cold_left_ms": 0, "sequence": 1, "born": l.Born, "labels": l.Labels,
+		"cold_left_ms": 0, "sequence": 1, "born": l.StartTime, "labels": l.Labels,
 		"capacity": map[string]int{"cpu": l.Capacity.CPUMillis, "mem_mb": l.Capacity.MemoryMB, "gpus": l.Capacity.GPUs},
 	})
 }
