--- a/backend/attribution.go
+++ b/backend/attribution.go
@@ -37,13 +37,13 @@
 
 // FailureCause is the evidence about whether a failure is the fault of the worker on which it happened.
 type FailureCause struct {
-	// Proven is set if the same work succeeds on other workers; otherwise the failure does not prove a fault of the
+	// SucceedsElsewhere is set if the same work succeeds on other workers; otherwise the failure does not prove a fault of the
 	// worker.
-	Proven bool
+	SucceedsElsewhere bool
 	// Expected is the failure rate of the same work on other workers.
 	Expected float64
-	// Explained is set if the work fails on several workers and succeeds on none.
-	Explained bool
+	// FailsElsewhere is set if the work fails on several workers and succeeds on none.
+	FailsElsewhere bool
 	// Retract lists the failures by worker that were attributed to the workers and turned out to be the fault of the
 	// job or kind.
 	Retract map[string]int
@@ -79,7 +79,7 @@
 		w.ok++
 		a.total.ok++
 		a.succeed(job)
-		return FailureCause{Proven: true}
+		return FailureCause{SucceedsElsewhere: true}
 	}
 	w.failed++
 	a.total.failed++
@@ -90,14 +90,14 @@
 	before := len(a.streakWorkers)
 	a.streakWorkers[worker] = true
 	b := FailureCause{
-		Proven:   elsewhere.ok >= provenSuccesses,
-		Expected: elsewhere.failed / max(1, elsewhere.ok+elsewhere.failed),
+		SucceedsElsewhere: elsewhere.ok >= provenSuccesses,
+		Expected:          elsewhere.failed / max(1, elsewhere.ok+elsewhere.failed),
 	}
 	a.failJob(worker, job, &b)
-	if len(a.streakWorkers) >= failingWorkers && !b.Proven {
-		b.Explained = true
+	if len(a.streakWorkers) >= failingWorkers && !b.SucceedsElsewhere {
+		b.FailsElsewhere = true
 	}
-	if b.Retract == nil && before < failingWorkers && b.Explained {
+	if b.Retract == nil && before < failingWorkers && b.FailsElsewhere {
 		b.Retract = make(map[string]int)
 		for w := range a.streakWorkers {
 			b.Retract[w] = 0
@@ -156,7 +156,7 @@
 		}
 	}
 	if t.poisoned {
-		b.Proven = false
+		b.SucceedsElsewhere = false
 		return
 	}
 	if _, known := t.failures[worker]; !known {
@@ -164,11 +164,11 @@
 	}
 	if !t.succeeded && len(t.failures) >= poisonWorkers {
 		t.poisoned = true
-		b.Proven = false
+		b.SucceedsElsewhere = false
 		b.Retract = t.failures
 		return
 	}
-	if b.Proven {
+	if b.SucceedsElsewhere {
 		t.failures[worker]++
 	}
 }
--- a/backend/kind_test.go
+++ b/backend/kind_test.go
@@ -85,12 +85,12 @@
 	t.Run("worker", func(t *testing.T) {
 		var a Attribution
 		a.Observe("good", 1, false, epoch)
-		require.True(t, a.Observe("bad", 2, true, epoch).Proven)
+		require.True(t, a.Observe("bad", 2, true, epoch).SucceedsElsewhere)
 	})
 	t.Run("kind", func(t *testing.T) {
 		var a Attribution
 		for i := range uint64(10) {
-			require.False(t, a.Observe([]string{"a", "b", "c"}[i%3], i, true, epoch).Proven)
+			require.False(t, a.Observe([]string{"a", "b", "c"}[i%3], i, true, epoch).SucceedsElsewhere)
 		}
 		require.True(t, a.FailsEverywhere(50, 0, epoch))
 		require.False(t, a.FailsEverywhere(50, time.Second, epoch), "tasks on other workers may still run")
@@ -107,7 +107,7 @@
 		held := 0
 		for _, w := range []string{"a", "a", "b", "c", "a", "b"} {
 			b := a.Observe(w, 100, true, epoch)
-			if b.Proven {
+			if b.SucceedsElsewhere {
 				held++
 			}
 			for _, n := range b.Retract {
