--- a/batch/advance.go
+++ b/batch/advance.go
@@ -173,7 +173,7 @@
 
 // applyReport applies an owner's report to the current run of a task. The lock of the job's shard is held.
 func (h *Home) applyReport(j *job, t *task, owner string, r contract.RunReport, now time.Time, out *outbox) {
-	j.mayHaveRun = j.mayHaveRun || r.Ran
+	j.mayHaveRun = j.mayHaveRun || r.MayHaveStarted
 	if t.owner != owner && r.State != contract.RunDone && r.State != contract.RunStarted {
 		// An owner other than the current one can prove only that the run is done or runs on one of its workers.
 		return
@@ -194,10 +194,10 @@
 		if t.started && !t.withdrawn {
 			h.o.Logger.Info("run ended before its task was done", "task", r.Key.String(), "worker", r.Worker)
 		}
-		h.unplace(t, r.Ran)
+		h.unplace(t, r.MayHaveStarted)
 	case contract.RunInfeasible:
 		t.infeasibleOwners = append(t.infeasibleOwners, owner)
-		h.unplace(t, r.Ran)
+		h.unplace(t, r.MayHaveStarted)
 	case contract.RunLost:
 		h.markLost(t, now)
 	}
@@ -210,7 +210,7 @@
 		return
 	}
 	j.mayHaveRun = j.mayHaveRun || now.Sub(t.placedAt) > unknownProofWindow
-	h.unplace(t, r.Ran)
+	h.unplace(t, r.MayHaveStarted)
 	t.retryAt = now.Add(unknownRetry(t.unknownOrders))
 	t.unknownOrders++
 }
--- a/command/config.go
+++ b/command/config.go
@@ -77,7 +77,7 @@
 		if err != nil {
 			return err
 		}
-		l.state.Bounds(page.First)
+		l.state.SetOldestOffset(page.First)
 		for _, r := range page.Records {
 			// A malformed record is skipped by all readers.
 			record, _ := config.DecodeRecord(r.Data)
--- a/contract/batch.go
+++ b/contract/batch.go
@@ -135,16 +135,16 @@
 	Worker string
 	// Token is the fencing token under which the run was started, zero for a run that was not.
 	Token uint64
-	// Ran is set if a start of the run was sent and not provably rejected.
-	Ran bool
+	// MayHaveStarted is set if a start of the run was sent and not provably rejected.
+	MayHaveStarted bool
 	// RunTime is how long the run took, for final reports of runs that started.
 	RunTime time.Duration
 }
 
 // Takeover announces that a VM now owns a worker, and which runs it found there.
 type Takeover struct {
-	Worker string
-	Born   int64
+	Worker    string
+	StartTime int64
 	// Token is the fencing token of the new owner.
 	Token uint64
 	Runs  []RunKey
--- a/contract/claim.go
+++ b/contract/claim.go
@@ -106,9 +106,9 @@
 	t.next = max(t.next, offset)
 }
 
-// Truncated sets the oldest offset that the log keeps. If records are missing, keys that they may have bound stay
+// SetOldestOffset sets the oldest offset that the log keeps. If records are missing, keys that they may have bound stay
 // undecided.
-func (t *ClaimTable) Truncated(first uint64) {
+func (t *ClaimTable) SetOldestOffset(first uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if first > t.next {
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -51,7 +51,7 @@
 		if rapid.IntRange(0, 9).Draw(t, "truncation") == 0 {
 			first = rapid.IntRange(first, len(log)-1).Draw(t, "later first")
 		}
-		table.Truncated(uint64(first))
+		table.SetOldestOffset(uint64(first))
 		from := int(table.Next())
 		if back := rapid.IntRange(0, 3).Draw(t, "repeated"); from-back >= first {
 			from -= back
--- a/contract/configstate.go
+++ b/contract/configstate.go
@@ -90,9 +90,9 @@
 	return s.next
 }
 
-// Bounds sets the oldest offset that the log keeps. Only a log that still holds its first record proves that nothing
+// SetOldestOffset sets the oldest offset that the log keeps. Only a log that still holds its first record proves that nothing
 // is missing; of a truncated log only a snapshot that covers the missing records shows the earlier state.
-func (s *ConfigState) Bounds(first uint64) {
+func (s *ConfigState) SetOldestOffset(first uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first == 0 && !s.known {
--- a/contract/configstate_test.go
+++ b/contract/configstate_test.go
@@ -21,7 +21,7 @@
 // accepted change.
 func TestStaleBaseIsRejected(t *testing.T) {
 	s := NewConfigState(acceptAll)
-	s.Bounds(0)
+	s.SetOldestOffset(0)
 	now := time.Unix(0, 0)
 	require.True(t, s.Apply(0, now, customerChange("first", 0, "c", 1))[0].Accepted)
 	v := s.Apply(1, now, customerChange("second", 0, "c", 2))[0]
@@ -36,7 +36,7 @@
 func TestTruncatedLogShowsNoRevision(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewConfigState(acceptAll)
-	s.Bounds(57)
+	s.SetOldestOffset(57)
 	require.False(t, s.View().Known)
 	s.Apply(57, now, ConfigRecord{Snapshot: &ConfigSnapshot{Next: 40, Revision: 3}})
 	require.False(t, s.View().Known, "records 40 to 56 may have made later revisions")
@@ -71,7 +71,7 @@
 		}
 		return nil
 	})
-	full.Bounds(0)
+	full.SetOldestOffset(0)
 	state, _ := full.Snapshot()
 	h := configHistory{states: []ConfigSnapshot{state}}
 	for i := range rapid.IntRange(1, 60).Draw(t, "records") {
@@ -118,7 +118,7 @@
 				s = NewConfigState(check)
 				last = ConfigView{}
 			default:
-				s.Bounds(uint64(first))
+				s.SetOldestOffset(uint64(first))
 				from := max(first, int(s.Position())-rapid.IntRange(0, 2).Draw(t, "repeated"))
 				to := min(len(h.records), from+rapid.IntRange(0, 10).Draw(t, "page"))
 				for i := from; i < to; i++ {
--- a/contract/quotashare.go
+++ b/contract/quotashare.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Take adds the amount by which a transfer exceeds the earlier ones. It reports whether the transfer is addressed to
+// Receive adds the amount by which a transfer exceeds the earlier ones. It reports whether the transfer is addressed to
 // this share and so has to be acknowledged.
-func (s *QuotaShare) Take(t QuotaTransfer) bool {
+func (s *QuotaShare) Receive(t QuotaTransfer) bool {
 	if t.To != s.self || t.Revision != s.revision || t.Team != s.team {
 		return false
 	}
--- a/contract/quotashare_test.go
+++ b/contract/quotashare_test.go
@@ -26,7 +26,7 @@
 		}
 		deliver := func(m QuotaTransfer) {
 			for _, s := range shares {
-				if s.Take(m) {
+				if s.Receive(m) {
 					acks = append(acks, m)
 				}
 			}
--- a/dispatch/schedulerclass.go
+++ b/dispatch/schedulerclass.go
@@ -20,7 +20,7 @@
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	if sched.o.Placement == nil {
-		sched.holdings.Outgrow(s)
+		sched.holdings.ReclassifyAsLong(s)
 	}
 }
 
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -80,14 +80,14 @@
 	}
 	d.members.Send(home, &api.PeerMessage{Body: &api.PeerMessage_TaskReport{TaskReport: &api.TaskReport{
 		Key: encodeKey(r.Key), State: uint32(r.State), Worker: r.Worker, Backend: backend,
-		RunMs: clampMillis(r.RunTime), Ran: r.Ran, Token: r.Token,
+		RunMs: clampMillis(r.RunTime), Ran: r.MayHaveStarted, Token: r.Token,
 	}}})
 }
 
 // takeover announces to all homes that this process has become the owner of a worker.
 func (d *Daemon) takeover(t contract.Takeover) {
 	d.members.Broadcast(&api.PeerMessage{Body: &api.PeerMessage_WorkerTakeover{WorkerTakeover: &api.WorkerTakeover{
-		Worker: t.Worker, Born: t.Born, Token: t.Token, Runs: encodeKeys(t.Runs),
+		Worker: t.Worker, Born: t.StartTime, Token: t.Token, Runs: encodeKeys(t.Runs),
 	}}})
 	d.home.Takeover(d.self, t)
 }
@@ -210,13 +210,13 @@
 	case *api.PeerMessage_TaskReport:
 		r := b.TaskReport
 		d.home.Report(batch.PoolRef{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
-			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(), Ran: r.GetRan(),
+			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(), MayHaveStarted: r.GetRan(),
 			Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
 		})
 	case *api.PeerMessage_WorkerTakeover:
 		t := b.WorkerTakeover
 		d.home.Takeover(id, contract.Takeover{
-			Worker: t.GetWorker(), Born: t.GetBorn(), Token: t.GetToken(), Runs: decodeKeys(t.GetRuns()),
+			Worker: t.GetWorker(), StartTime: t.GetBorn(), Token: t.GetToken(), Runs: decodeKeys(t.GetRuns()),
 		})
 	default:
 		d.handleClusterState(id, vm, m)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -380,7 +380,7 @@
 
 // applyPage may run concurrently for overlapping pages: the table ignores records that were already applied.
 func (c *claimDelegate) applyPage(page platform.Page) {
-	c.table.Truncated(page.First)
+	c.table.SetOldestOffset(page.First)
 	for _, r := range page.Records {
 		b, err := decodeBatch(r.Data)
 		if err != nil {
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -117,7 +117,7 @@
 	}
 	c.applying.Lock()
 	defer c.applying.Unlock()
-	c.state.Bounds(page.First)
+	c.state.SetOldestOffset(page.First)
 	for _, r := range page.Records {
 		c.applyRecord(r.Offset, r.Time, r.Data)
 	}
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -346,7 +346,7 @@
 	taken := false
 	if ok && m.GetAcknowledged() {
 		e.share.Acknowledge(t)
-	} else if ok && e.share.Take(t) {
+	} else if ok && e.share.Receive(t) {
 		taken = true
 		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
 	}
--- a/load/soakconfig.go
+++ b/load/soakconfig.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		o.state.Bounds(page.First)
+		o.state.SetOldestOffset(page.First)
 		for _, r := range page.Records {
 			// All readers skip a malformed record.
 			record, _ := config.DecodeRecord(r.Data)
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -236,7 +236,7 @@
 		"ended", len(reply.Ended))
 	p.apply(fx)
 	p.o.Takeover(contract.Takeover{
-		Worker: t.address.Worker, Born: reply.StartTime, Token: token, Runs: found,
+		Worker: t.address.Worker, StartTime: reply.StartTime, Token: token, Runs: found,
 	})
 	return true
 }
@@ -269,7 +269,7 @@
 		}
 		p.runs[e.Key] = &run{
 			order: contract.TaskOrder{Key: e.Key}, state: runFinal, endedAt: now,
-			outcome: contract.RunReport{Key: e.Key, State: e.State, Worker: t.address.Worker, Ran: true},
+			outcome: contract.RunReport{Key: e.Key, State: e.State, Worker: t.address.Worker, MayHaveStarted: true},
 		}
 	}
 	return found
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -190,7 +190,7 @@
 	delete(p.runs, r.order.Key)
 	p.barredRuns[r.order.Key] = barredRun{at: p.o.Now(), state: contract.RunLost}
 	fx.reports = append(fx.reports, report{r.home, contract.RunReport{
-		Key: r.order.Key, State: contract.RunLost, Worker: worker, Ran: r.mayHaveRun,
+		Key: r.order.Key, State: contract.RunLost, Worker: worker, MayHaveStarted: r.mayHaveRun,
 	}})
 }
 
--- a/pool/run.go
+++ b/pool/run.go
@@ -80,12 +80,12 @@
 	switch r.state {
 	case runFinal:
 	case runRunning:
-		msg = contract.RunReport{Key: r.order.Key, State: contract.RunStarted, Token: r.token, Ran: true}
+		msg = contract.RunReport{Key: r.order.Key, State: contract.RunStarted, Token: r.token, MayHaveStarted: true}
 		if r.host != nil {
 			msg.Worker = r.host.host.Listing.Worker
 		}
 	default:
-		msg = contract.RunReport{Key: r.order.Key, State: contract.RunQueued, Ran: r.mayHaveRun}
+		msg = contract.RunReport{Key: r.order.Key, State: contract.RunQueued, MayHaveStarted: r.mayHaveRun}
 	}
 	fx.reports = append(fx.reports, report{r.home, msg})
 }
@@ -120,7 +120,7 @@
 	}
 	p.detach(r)
 	r.state, r.endedAt = runFinal, now
-	r.outcome = contract.RunReport{Key: r.order.Key, State: state, Worker: worker, Token: r.token, Ran: r.mayHaveRun,
+	r.outcome = contract.RunReport{Key: r.order.Key, State: state, Worker: worker, Token: r.token, MayHaveStarted: r.mayHaveRun,
 		RunTime: took}
 	fx.report(r)
 	p.o.Logger.Info("run ended", "task", r.order.Key.String(), "state", state.String(), "worker", worker,
