--- a/batch/advance.go
+++ b/batch/advance.go
@@ -65,7 +65,7 @@
 // shouldMove reports whether a task is queued at its owner while another one has free capacity.
 func (h *Home) shouldMove(j *job, t *task, now time.Time) bool {
 	return t.state == taskPlaced && !t.started && now.Sub(t.placedAt) > moveAfter &&
-		now.Sub(t.recalledAt) > recallRetry && h.o.Capacity.FreeElsewhere(j.batch.Backend, t.owner)
+		now.Sub(t.recalledAt) > recallRetry && h.o.Capacity.OtherOwnerHasCapacity(j.batch.Backend, t.owner)
 }
 
 // checkDeadline ends a job whose deadline has passed, or refuses one that has not started and cannot end before it.
--- a/batch/home.go
+++ b/batch/home.go
@@ -47,7 +47,7 @@
 // Options configure a home.
 type Options struct {
 	Owners   Owners
-	Capacity *zone.Rooms
+	Capacity *zone.CapacityView
 	// Fits reports whether any listed worker of a back end can hold a task, and whether any worker is listed at all.
 	Fits    func(backend string, need machine.Resources, label string) (fits, known bool)
 	Now     func() time.Time
--- a/batch/home_test.go
+++ b/batch/home_test.go
@@ -34,8 +34,8 @@
 func (r *recorder) Acknowledge(_ PoolRef, keys []contract.RunKey) { r.acks = append(r.acks, keys...) }
 
 func newTestHome() (*Home, *recorder) {
-	capacity := zone.NewRooms("self/1", "z")
-	capacity.Update(testOwner, "z", false, map[string]*zone.BackendRoom{"s": {Free: 100, Slots: 100}})
+	capacity := zone.NewCapacityView("self/1", "z")
+	capacity.Update(testOwner, "z", false, map[string]*zone.BackendCapacity{"s": {Free: 100, Slots: 100}})
 	out := &recorder{}
 	return New(Options{
 		Owners: out, Capacity: capacity, Now: time.Now, Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -36,7 +36,7 @@
 
 // localBroker grants the slots of all workers to this entry VM.
 type localBroker struct {
-	allocator  *zone.Granter
+	allocator  *zone.SlotAllocator
 	dispatcher *dispatch.Dispatcher
 }
 
@@ -88,7 +88,7 @@
 // newBench builds a home node with the given workers. With zero slots the node cannot start any task.
 func newBench(b *testing.B, fleet *machine.Fleet, home machine.Incarnation, starter dispatch.Starter, slots int) *bench {
 	table := contract.NewJobTable(1, home)
-	broker := &localBroker{allocator: zone.NewGranter(benchSelf, 1)}
+	broker := &localBroker{allocator: zone.NewSlotAllocator(benchSelf, 1)}
 	d := dispatch.New(dispatch.Options{
 		Table: table, Starter: starter, Broker: broker, Self: benchSelf, Fleet: fleet, Now: time.Now,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -82,7 +82,7 @@
 	o          Options
 	self       string
 	members    *Members
-	capacity   *zone.Rooms
+	capacity   *zone.CapacityView
 	home       *batch.Home
 	server     *link.PeerServer
 	workers    *workers
@@ -108,7 +108,7 @@
 	// sentNear and sentFar are the times of the last statuses to the own failure domain and to all members.
 	sentNear       time.Time
 	sentFar        time.Time
-	lastCapacities map[string]zone.BackendRoom
+	lastCapacities map[string]zone.BackendCapacity
 	// lastPresent is when a member was last seen, by failure domain.
 	lastPresent map[string]time.Time
 	assignedAt  time.Time
@@ -118,7 +118,7 @@
 func New(o Options) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
-		o: o, self: o.Self.ID(), capacity: zone.NewRooms(o.Self.ID(), o.Self.Domain), cancel: cancel, started: o.Now(),
+		o: o, self: o.Self.ID(), capacity: zone.NewCapacityView(o.Self.ID(), o.Self.Domain), cancel: cancel, started: o.Now(),
 		firstTimestamp: rand.Uint64N(timestampRange),
 		pools:          make(map[string]*pool.Pool), lastPresent: make(map[string]time.Time), workers: newWorkers(o.Logger),
 	}
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -94,7 +94,7 @@
 
 // sendStatus reports the free capacity of the own workers to the other members.
 func (d *Daemon) sendStatus(now time.Time) {
-	capacities := make(map[string]zone.BackendRoom)
+	capacities := make(map[string]zone.BackendCapacity)
 	for backend, p := range d.allPools() {
 		capacities[backend] = p.FreeCapacity()
 	}
@@ -149,8 +149,8 @@
 	return d.started.Add(time.Duration(timestamp-d.firstTimestamp) * time.Millisecond)
 }
 
-func (d *Daemon) updateCapacity(id, domain string, ownsNothing bool, capacities map[string]zone.BackendRoom) {
-	view := make(map[string]*zone.BackendRoom, len(capacities))
+func (d *Daemon) updateCapacity(id, domain string, ownsNothing bool, capacities map[string]zone.BackendCapacity) {
+	view := make(map[string]*zone.BackendCapacity, len(capacities))
 	for backend, capacity := range capacities {
 		view[backend] = &capacity
 	}
@@ -251,7 +251,7 @@
 }
 
 func (d *Daemon) handleStatus(id, vm string, s *api.PoolStatus) {
-	capacities := make(map[string]zone.BackendRoom, len(s.GetRooms()))
+	capacities := make(map[string]zone.BackendCapacity, len(s.GetRooms()))
 	for _, r := range s.GetRooms() {
 		capacities[r.GetBackend()] = decodeCapacity(r)
 	}
@@ -278,7 +278,7 @@
 	}
 }
 
-func encodeCapacity(backend string, r zone.BackendRoom) *api.BackendRoom {
+func encodeCapacity(backend string, r zone.BackendCapacity) *api.BackendRoom {
 	m := &api.BackendRoom{Backend: backend, FreeSlots: uint32(r.Free), Slots: uint32(r.Slots)}
 	for _, w := range r.Waiting {
 		m.WaitingMs = append(m.WaitingMs, clampMillis(w))
@@ -286,8 +286,8 @@
 	return m
 }
 
-func decodeCapacity(m *api.BackendRoom) zone.BackendRoom {
-	r := zone.BackendRoom{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
+func decodeCapacity(m *api.BackendRoom) zone.BackendCapacity {
+	r := zone.BackendCapacity{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
 	for i, w := range m.GetWaitingMs() {
 		if i < len(r.Waiting) {
 			r.Waiting[i] = time.Duration(w) * time.Millisecond
--- a/entry/capacity.go
+++ b/entry/capacity.go
@@ -72,7 +72,7 @@
 func (s *slotBroker) taskReclassified(service string, worker machine.WorkerID) {
 	st, allocator := s.service(service), s.Granter(worker)
 	if allocator == s.d.o.VM.ID {
-		st.allocator.Outgrow(allocator, worker, s.d.o.Now())
+		st.allocator.ReclassifyAsLong(allocator, worker, s.d.o.Now())
 		return
 	}
 	if s.placement != nil || allocator == "" {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -132,7 +132,7 @@
 		requests: newRequestLimiter(maxServed), lost: make(chan struct{}), started: o.Now(),
 	}
 	if o.Predecessor != 0 {
-		d.homes.Ended(o.VM.ID, o.Predecessor, o.Now())
+		d.homes.MarkGone(o.VM.ID, o.Predecessor, o.Now())
 	}
 	d.tombstones = newTombstoneLog(d)
 	d.table.OnCheck(d.onCheck)
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -23,7 +23,7 @@
 	if d.countSilent(ctx, home, members, false) < quorum || d.countSilent(ctx, home, members, true) < quorum {
 		return zone.HomeSilent
 	}
-	d.homes.Ended(home.VM, home.Incarnation, d.o.Now())
+	d.homes.MarkGone(home.VM, home.Incarnation, d.o.Now())
 	return zone.HomeGone
 }
 
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -110,7 +110,7 @@
 	succession := zone.Succession{
 		Home: inc, VM: vm, Successor: d.o.VM.Incarnation, SuccessorVM: d.o.VM.ID, Complete: complete,
 	}
-	if d.homes.Succeed(succession, d.o.Now()) {
+	if d.homes.SetSuccession(succession, d.o.Now()) {
 		d.broadcastSuccession(succession)
 	}
 	return nil
@@ -291,7 +291,7 @@
 	}
 	t.succession.Complete = err == nil
 	t.d.handovers.setSuccessor(t.succession, true)
-	t.d.homes.Succeed(t.succession, t.d.o.Now())
+	t.d.homes.SetSuccession(t.succession, t.d.o.Now())
 	return nil
 }
 
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -21,7 +21,7 @@
 	vm := env.GetFromVm()
 	now := d.o.Now()
 	if zone.DomainID(env.GetFromDomain()) == d.o.Domain {
-		accepted, fresh := d.homes.Heard(vm, inc, now)
+		accepted, fresh := d.homes.ObserveMessage(vm, inc, now)
 		if !accepted {
 			return d.reject(inc)
 		}
@@ -38,7 +38,7 @@
 			d.quotas.setSeeded(h.GetQuotaSeeded())
 		}
 	}
-	d.applyChanges(d.domain.Heard(vm, inc, leaving, now))
+	d.applyChanges(d.domain.ObserveMessage(vm, inc, leaving, now))
 	for _, m := range env.GetMessages() {
 		if !d.slots.handleSlots(vm, inc, m) && !d.quotas.handleMessage(vm, inc, m) {
 			d.handle(vm, m)
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -46,7 +46,7 @@
 	for i, m := range members {
 		listings = append(listings, zone.Listing{VM: machine.EntryVM{ID: m}, Domain: 1})
 		d.lease.Sent(m, h.now)
-		d.homes.Heard(m, machine.Incarnation(i+1), h.now)
+		d.homes.ObserveMessage(m, machine.Incarnation(i+1), h.now)
 	}
 	d.domain.ApplyList(listings, h.now)
 	return h
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	require.Equal(t, contract.VerdictFailed, forgotten.Verdict)
 	require.Equal(t, contract.OutcomeUnknown, forgotten.Reports[0].Outcome)
-	h.homes.Heard("a", 11, h.now)
+	h.homes.ObserveMessage("a", 11, h.now)
 	for range 2 {
 		a, err := ask(1)
 		require.NoError(t, err)
@@ -238,7 +238,7 @@
 func TestIsolatedMemberDoesNotReportJobsLost(t *testing.T) {
 	h := newTestDaemon(t, "a", "b")
 	id := contract.JobID{Domain: 1, Home: 77, Seq: 1}
-	h.homes.Ended("stopped", id.Home, h.now)
+	h.homes.MarkGone("stopped", id.Home, h.now)
 	_, _, err := h.locate(t.Context(), id)
 	require.Equal(t, fault.Lost.FullName(), fault.Code(err))
 	h.now = h.now.Add(zone.SilenceLimit)
--- a/entry/slotmessages.go
+++ b/entry/slotmessages.go
@@ -48,11 +48,11 @@
 	}
 	now := s.d.o.Now()
 	st := s.service(m.GetService())
-	st.allocator.Observe(vm, fromMillis(m.GetOldestWaitMs()), now)
+	st.allocator.ObserveWait(vm, fromMillis(m.GetOldestWaitMs()), now)
 	if reply {
-		st.planner.Hint(vm, int(m.GetFree()), now)
+		st.planner.RecordReply(vm, int(m.GetFree()), now)
 	} else {
-		st.planner.Overheard(vm, int(m.GetFree()), now)
+		st.planner.RecordUnsolicited(vm, int(m.GetFree()), now)
 	}
 	sched, ok := s.d.dispatcher.Lane(st.name)
 	if !ok {
@@ -73,14 +73,14 @@
 func (s *slotBroker) handleDemand(vm string, m *api.Demand) {
 	now := s.d.o.Now()
 	st := s.service(m.GetStatus().GetService())
-	st.planner.Overheard(vm, int(m.GetStatus().GetFree()), now)
+	st.planner.RecordUnsolicited(vm, int(m.GetStatus().GetFree()), now)
 	allocations := st.allocator.Demand(vm, zone.Need{
 		Tasks:     zone.Count{Short: int(m.GetShortTasks()), Long: int(m.GetLongTasks())},
 		ShortWait: fromMillis(m.GetStatus().GetOldestWaitMs()), LongWait: fromMillis(m.GetOldestLongWaitMs()),
 		Received: m.GetReceived(),
 	}, now)
 	// A member that waits for other allocators may demand nothing of this one, so its wait is recorded separately.
-	st.allocator.Observe(vm, fromMillis(m.GetStatus().GetOldestWaitMs()), now)
+	st.allocator.ObserveWait(vm, fromMillis(m.GetStatus().GetOldestWaitMs()), now)
 	s.deliver(st, allocations)
 	st.mu.Lock()
 	st.demandedAt = now
@@ -120,7 +120,7 @@
 	}
 	s.counters.received.Inc(int64(sum.Sum()))
 	st.mu.Lock()
-	st.planner.Granted(vm, sum, m.GetNumber())
+	st.planner.RecordGrant(vm, sum, m.GetNumber())
 	st.addDelivering(sum, 1)
 	st.mu.Unlock()
 	s.d.dispatcher.Grant(st.name, grants)
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -106,7 +106,7 @@
 		s.memberGone(c.VM.ID)
 	case zone.MemberSuspect:
 		for _, st := range s.all() {
-			st.allocator.Suspend(c.VM.ID)
+			st.allocator.CancelDemand(c.VM.ID)
 		}
 	case zone.MemberLive:
 		s.rejoin(c.VM.ID)
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, st := range s.all() {
-		st.allocator.Rejoin(vm, s.d.o.Now())
+		st.allocator.AwaitReport(vm, s.d.o.Now())
 		s.requestHoldings(st, vm)
 	}
 }
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -53,7 +53,7 @@
 // before the locks of both. It keeps demands in the order in which the scheduler issued them.
 type serviceSlots struct {
 	name      string
-	allocator *zone.Granter
+	allocator *zone.SlotAllocator
 	planner   *zone.DemandPlanner
 
 	mu   sync.Mutex
@@ -96,7 +96,7 @@
 	if !ok {
 		self := s.d.o.VM.ID
 		st = &serviceSlots{
-			name: name, allocator: zone.NewGranter(self, uint64(s.d.o.VM.Incarnation)), planner: zone.NewDemandPlanner(self),
+			name: name, allocator: zone.NewSlotAllocator(self, uint64(s.d.o.VM.Incarnation)), planner: zone.NewDemandPlanner(self),
 			statusSentAt: make(map[string]time.Time), reported: make(map[string]bool),
 		}
 		s.services[name] = st
@@ -191,7 +191,7 @@
 func (s *slotBroker) assign(st *serviceSlots, sched *dispatch.Lane, offers []zone.Offer, slots map[string]int) {
 	now := s.d.o.Now()
 	others := s.d.domain.Present()
-	st.planner.SetGranters(slots)
+	st.planner.SetAllocators(slots)
 	st.mu.Lock()
 	tookOver := st.allocator.Assign(offers, zoneHeld(sched.Held()), others, now)
 	if tookOver {
@@ -228,14 +228,14 @@
 // held, so that demands are sent in the order in which the scheduler issued them.
 func (s *slotBroker) planDemand(st *serviceSlots, now time.Time) []zone.Allocation {
 	self := s.d.o.VM.ID
-	st.planner.Hint(self, st.allocator.Free(), now)
-	st.allocator.Observe(self, st.need.ShortWait, now)
+	st.planner.RecordReply(self, st.allocator.Free(), now)
+	st.allocator.ObserveWait(self, st.need.ShortWait, now)
 	var own []zone.Allocation
 	need := zone.Count{
 		Short: max(0, st.need.Short-st.delivering.Short), Long: max(0, st.need.Long-st.delivering.Long),
 	}
 	for _, a := range st.planner.Plan(need, now) {
-		if a.Granter == self {
+		if a.Allocator == self {
 			own = st.allocator.Demand(self, zone.Need{
 				Tasks: a.Tasks, ShortWait: st.need.ShortWait, LongWait: st.need.LongWait, Received: a.Received,
 			}, now)
@@ -243,9 +243,9 @@
 		}
 		s.counters.demands.Inc(1)
 		s.d.timeline.Record(timeline.Event{
-			Kind: timeline.DemandSent, Peer: a.Granter, Detail: st.name, Count: int64(a.Tasks.Sum()),
+			Kind: timeline.DemandSent, Peer: a.Allocator, Detail: st.name, Count: int64(a.Tasks.Sum()),
 		})
-		s.d.peers.send(a.Granter, &api.PeerMessage{Body: &api.PeerMessage_Demand{Demand: &api.Demand{
+		s.d.peers.send(a.Allocator, &api.PeerMessage{Body: &api.PeerMessage_Demand{Demand: &api.Demand{
 			Status: s.status(st), ShortTasks: uint32(a.Tasks.Short), LongTasks: uint32(a.Tasks.Long),
 			OldestLongWaitMs: millis(st.need.LongWait), Received: a.Received,
 		}}})
@@ -357,7 +357,7 @@
 			sum.Short += a.Slots.Short
 			sum.Long += a.Slots.Long
 		}
-		st.planner.Granted(member, sum, allocations[0].Number)
+		st.planner.RecordGrant(member, sum, allocations[0].Number)
 		s.d.dispatcher.Grant(st.name, grants)
 		return
 	}
--- a/entry/tombstones.go
+++ b/entry/tombstones.go
@@ -64,7 +64,7 @@
 
 // receiveTombstone applies a tombstone announced by a member.
 func (d *Daemon) receiveTombstone(c *api.Closure) {
-	if d.homes.Succeed(successionOf(c), d.o.Now()) {
+	if d.homes.SetSuccession(successionOf(c), d.o.Now()) {
 		d.broadcastSuccession(successionOf(c))
 	}
 	if c.GetUnlogged() && machine.Incarnation(c.GetSuccessorIncarnation()) == d.o.VM.Incarnation {
@@ -81,18 +81,18 @@
 // receiveHomes applies a member's view of running and ended incarnations.
 func (d *Daemon) receiveHomes(m *api.Homes) {
 	for _, c := range m.GetClosures() {
-		if d.homes.Learn(successionOf(c), d.o.Now()) {
+		if d.homes.SetReportedSuccession(successionOf(c), d.o.Now()) {
 			d.broadcastSuccession(successionOf(c))
 		}
 	}
 	for _, e := range m.GetEnded() {
 		if inc := machine.Incarnation(e.GetIncarnation()); inc != d.o.VM.Incarnation {
-			d.homes.Ended(e.GetVm(), inc, d.o.Now())
+			d.homes.MarkGone(e.GetVm(), inc, d.o.Now())
 		}
 	}
 	for _, k := range m.GetKnown() {
 		if inc := machine.Incarnation(k.GetIncarnation()); inc != d.o.VM.Incarnation {
-			d.homes.Know(k.GetVm(), inc, d.o.Now())
+			d.homes.AddReported(k.GetVm(), inc, d.o.Now())
 		}
 	}
 }
@@ -219,7 +219,7 @@
 		return
 	}
 	l.d.timeline.Record(timeline.Event{Kind: timeline.ClosureApplied, Peer: record.GetSuccessorVm()})
-	l.d.homes.Learn(successionOf(&record), l.d.o.Now())
+	l.d.homes.SetReportedSuccession(successionOf(&record), l.d.o.Now())
 }
 
 func (l *tombstoneLog) appendQueued(ctx context.Context) {
--- a/load/mutations.sh
+++ b/load/mutations.sh
@@ -55,11 +55,11 @@
 
 # A planned stop appends and announces no tombstone, and the members do not forward tombstones.
 drop_tombstone() {
-  replace entry/tombstones.go '	if d.homes.Succeed(successionOf(c), d.o.Now()) {
+  replace entry/tombstones.go '	if d.homes.SetSuccession(successionOf(c), d.o.Now()) {
 		d.broadcastSuccession(successionOf(c))
 	}
 	if' '	if'
-  replace entry/tombstones.go '		if d.homes.Learn(successionOf(c), d.o.Now()) {
+  replace entry/tombstones.go '		if d.homes.SetReportedSuccession(successionOf(c), d.o.Now()) {
 			d.broadcastSuccession(successionOf(c))
 		}' '		_ = c'
   replace entry/tombstones.go '	record := l.d.tombstone(s)
--- a/pool/match.go
+++ b/pool/match.go
@@ -172,11 +172,11 @@
 }
 
 // FreeCapacity returns the slots of the pool, the free ones among them, and the work queued for them.
-func (p *Pool) FreeCapacity() zone.BackendRoom {
+func (p *Pool) FreeCapacity() zone.BackendCapacity {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var capacity zone.BackendRoom
+	var capacity zone.BackendCapacity
 	for _, t := range p.hosts {
 		if !t.host.Usable(now) {
 			continue
--- a/zone/allocation.go
+++ b/zone/allocation.go
@@ -75,7 +75,7 @@
 }
 
 // update restores the heaps and the free count after a change of w. It expects g.mu to be held.
-func (g *Granter) update(w *grantedWorker) {
+func (g *SlotAllocator) update(w *grantedWorker) {
 	free := w.free()
 	g.free += free - w.countedFree
 	w.countedFree = free
@@ -84,14 +84,14 @@
 }
 
 // drop expects g.mu to be held.
-func (g *Granter) drop(w *grantedWorker) {
+func (g *SlotAllocator) drop(w *grantedWorker) {
 	w.closed = true
 	g.update(w)
 	delete(g.workers, w.id)
 }
 
 // setHeld expects g.mu to be held.
-func (g *Granter) setHeld(w *grantedWorker, member string, c Count, now time.Time) {
+func (g *SlotAllocator) setHeld(w *grantedWorker, member string, c Count, now time.Time) {
 	old, ok := w.held[member]
 	if !ok && c.Sum() == 0 {
 		return
@@ -108,7 +108,7 @@
 
 // release takes back at most the slots that the member holds. The slot of a task that was reclassified as long may be
 // returned as long before the report of the reclassification. It expects g.mu to be held.
-func (g *Granter) release(w *grantedWorker, member string, c Count) {
+func (g *SlotAllocator) release(w *grantedWorker, member string, c Count) {
 	h := w.held[member]
 	c.Short += max(0, c.Long-h.Long)
 	left := Count{Short: h.Short - min(c.Short, h.Short), Long: h.Long - min(c.Long, h.Long)}
@@ -116,7 +116,7 @@
 }
 
 // allocate grants free slots to the members whose tasks have waited longest. It expects g.mu to be held.
-func (g *Granter) allocate(now time.Time) []Allocation {
+func (g *SlotAllocator) allocate(now time.Time) []Allocation {
 	var out []Allocation
 	for g.short.Len() > 0 {
 		name, m := g.longestWaiting(shortClass)
@@ -141,7 +141,7 @@
 }
 
 // grant expects g.mu to be held.
-func (g *Granter) grant(out []Allocation, w *grantedWorker, name string, c Count, now time.Time) []Allocation {
+func (g *SlotAllocator) grant(out []Allocation, w *grantedWorker, name string, c Count, now time.Time) []Allocation {
 	h := w.held[name]
 	g.setHeld(w, name, Count{Short: h.Short + c.Short, Long: h.Long + c.Long}, now)
 	g.check(w.sum.Sum()+w.withheld <= w.slots)
@@ -153,7 +153,7 @@
 
 // assignNumbers sets the grant number of the allocations of one decision, one number per member. It expects g.mu to
 // be held.
-func (g *Granter) assignNumbers(out []Allocation, now time.Time) []Allocation {
+func (g *SlotAllocator) assignNumbers(out []Allocation, now time.Time) []Allocation {
 	for i := range out {
 		a := &out[i]
 		m := g.member(a.Member)
@@ -169,7 +169,7 @@
 }
 
 // longestWaiting returns the member whose task of the class has waited longest. It expects g.mu to be held.
-func (g *Granter) longestWaiting(class slotClass) (string, *grantee) {
+func (g *SlotAllocator) longestWaiting(class slotClass) (string, *grantee) {
 	var name string
 	var best *grantee
 	var bestSince time.Time
--- a/zone/granter.go
+++ b/zone/allocator.go
@@ -66,9 +66,9 @@
 	Closed bool
 }
 
-// Granter is the slot allocator of the workers of one service that are assigned to this VM: it leases their slots to
+// SlotAllocator is the slot allocator of the workers of one service that are assigned to this VM: it leases their slots to
 // members, itself included. Its mutex guards all fields but self and epoch, which are not changed.
-type Granter struct {
+type SlotAllocator struct {
 	self  string
 	epoch uint64
 
@@ -117,16 +117,16 @@
 	sent   time.Time
 }
 
-// NewGranter returns an allocator without workers. The epoch distinguishes it from earlier allocators.
-func NewGranter(self string, epoch uint64) *Granter {
-	return &Granter{
+// NewSlotAllocator returns an allocator without workers. The epoch distinguishes it from earlier allocators.
+func NewSlotAllocator(self string, epoch uint64) *SlotAllocator {
+	return &SlotAllocator{
 		self: self, epoch: epoch, workers: make(map[machine.WorkerID]*grantedWorker),
 		members: make(map[string]*grantee),
 		short:   workerHeap{class: shortClass}, long: workerHeap{class: longClass},
 	}
 }
 
-func (g *Granter) member(name string) *grantee {
+func (g *SlotAllocator) member(name string) *grantee {
 	m, ok := g.members[name]
 	if !ok {
 		m = &grantee{}
@@ -138,7 +138,7 @@
 // Assign replaces the set of workers. Members may hold slots of a worker that is new here, so its slots are granted
 // only after all of others have reported, or after TakeoverWait; own lists the slots that this VM holds. Assign
 // reports whether the others have to be asked.
-func (g *Granter) Assign(offers []Offer, own []Held, others []string, now time.Time) bool {
+func (g *SlotAllocator) Assign(offers []Offer, own []Held, others []string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	seen := make(map[machine.WorkerID]bool, len(offers))
@@ -176,7 +176,7 @@
 }
 
 // awaitReports expects g.mu to be held.
-func (g *Granter) awaitReports(others []string, now time.Time) {
+func (g *SlotAllocator) awaitReports(others []string, now time.Time) {
 	if g.awaiting == nil {
 		g.awaiting = make(map[string]bool, len(others))
 	}
@@ -187,7 +187,7 @@
 }
 
 // Demand replaces a member's demand and returns the resulting allocations.
-func (g *Granter) Demand(member string, n Need, now time.Time) []Allocation {
+func (g *SlotAllocator) Demand(member string, n Need, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -203,8 +203,8 @@
 	return g.allocate(now)
 }
 
-// Observe records how long a member's oldest short task has waited; zero means that none waits.
-func (g *Granter) Observe(member string, wait time.Duration, now time.Time) {
+// ObserveWait records how long a member's oldest short task has waited; zero means that none waits.
+func (g *SlotAllocator) ObserveWait(member string, wait time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -216,7 +216,7 @@
 }
 
 // Return takes back the slots that a member returns, and returns the resulting allocations.
-func (g *Granter) Return(member string, slots []Held, now time.Time) []Allocation {
+func (g *SlotAllocator) Return(member string, slots []Held, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -231,7 +231,7 @@
 
 // Reject takes back slots on which the worker refused a start because it had none free, which means that another
 // allocator has granted them. They are withheld for withholdTime.
-func (g *Granter) Reject(member string, slots []Held, now time.Time) []Allocation {
+func (g *SlotAllocator) Reject(member string, slots []Held, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range slots {
@@ -247,7 +247,7 @@
 
 // Report replaces the record of the slots that a member holds, except for the grants that it has not received yet.
 // Workers that are not in the report count as not held.
-func (g *Granter) Report(member string, held []Held, received uint64, complete bool, now time.Time) []Allocation {
+func (g *SlotAllocator) Report(member string, held []Held, received uint64, complete bool, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -272,7 +272,7 @@
 }
 
 // MemberGone takes back all slots that a member held and drops its demand.
-func (g *Granter) MemberGone(member string, now time.Time) []Allocation {
+func (g *SlotAllocator) MemberGone(member string, now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -287,7 +287,7 @@
 }
 
 // Tick ends takeovers, expires grants and demands, and makes withheld slots available again.
-func (g *Granter) Tick(now time.Time) []Allocation {
+func (g *SlotAllocator) Tick(now time.Time) []Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endTakeover(now)
@@ -315,9 +315,9 @@
 	return g.allocate(now)
 }
 
-// Suspend drops the demand of a member that does not respond. The slots that it holds stay counted, because its tasks
+// CancelDemand drops the demand of a member that does not respond. The slots that it holds stay counted, because its tasks
 // continue.
-func (g *Granter) Suspend(member string) {
+func (g *SlotAllocator) CancelDemand(member string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.member(member)
@@ -325,9 +325,9 @@
 	delete(g.awaiting, member)
 }
 
-// Rejoin prepares for a member that responds again: another allocator may have granted it slots of any worker here.
+// AwaitReport prepares for a member that responds again: another allocator may have granted it slots of any worker here.
 // No slot is granted until the member has reported, or for TakeoverWait, and no slot is withheld after that.
-func (g *Granter) Rejoin(member string, now time.Time) {
+func (g *SlotAllocator) AwaitReport(member string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.awaiting == nil {
@@ -343,7 +343,7 @@
 }
 
 // endTakeover expects g.mu to be held.
-func (g *Granter) endTakeover(now time.Time) {
+func (g *SlotAllocator) endTakeover(now time.Time) {
 	if g.awaiting == nil || (len(g.awaiting) > 0 && now.Before(g.awaitedUntil)) {
 		return
 	}
@@ -357,14 +357,14 @@
 }
 
 // Free returns the number of slots that can be granted now.
-func (g *Granter) Free() int {
+func (g *SlotAllocator) Free() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.free
 }
 
 // TakingOver reports whether slots are held back until the members have reported their holdings.
-func (g *Granter) TakingOver() bool {
+func (g *SlotAllocator) TakingOver() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.awaiting != nil
@@ -372,7 +372,7 @@
 
 // TakeChecks returns and resets the numbers of invariant checks, after checking that the counts of all workers add
 // up.
-func (g *Granter) TakeChecks() Checks {
+func (g *SlotAllocator) TakeChecks() Checks {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	free := 0
@@ -387,7 +387,7 @@
 }
 
 // check expects g.mu to be held.
-func (g *Granter) check(ok bool) {
+func (g *SlotAllocator) check(ok bool) {
 	g.checks.Made++
 	if !ok {
 		g.checks.Violated++
--- a/zone/granter_test.go
+++ b/zone/allocator_test.go
@@ -24,7 +24,7 @@
 // allocatorModel simulates members that hold the slots granted to them.
 type allocatorModel struct {
 	t      *rapid.T
-	g      *Granter
+	g      *SlotAllocator
 	now    time.Time
 	offers []Offer
 	held   map[string]map[machine.WorkerID]Count
@@ -114,7 +114,7 @@
 func TestAllocatorProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &allocatorModel{
-			t: t, g: NewGranter(testSelf, 1), now: time.Unix(1000, 0),
+			t: t, g: NewSlotAllocator(testSelf, 1), now: time.Unix(1000, 0),
 			offers: testOffers(rapid.IntRange(1, 5).Draw(t, "workers"), rapid.IntRange(1, 9).Draw(t, "slots")),
 			held:   make(map[string]map[machine.WorkerID]Count), need: make(map[string]Count),
 			number: make(map[string]uint64), gone: make(map[string]bool),
@@ -173,7 +173,7 @@
 	now := time.Unix(1000, 0)
 	offers := testOffers(1, 8)
 	need := Need{Tasks: Count{Short: 20}}
-	g := NewGranter(testSelf, 1)
+	g := NewSlotAllocator(testSelf, 1)
 	require.True(t, g.Assign(offers, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, []string{"entry-1", "entry-2"}, now))
 	require.Empty(t, g.Demand(testSelf, need, now))
 	require.Empty(t, g.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, 0, true, now))
@@ -182,7 +182,7 @@
 	require.Len(t, out, 1)
 	require.Equal(t, 2, out[0].Slots.Short, "eight slots minus one of its own and five reported")
 
-	g = NewGranter(testSelf, 2)
+	g = NewSlotAllocator(testSelf, 2)
 	require.True(t, g.Assign(offers, nil, []string{"entry-1"}, now))
 	require.Empty(t, g.Demand(testSelf, need, now))
 	require.Len(t, g.Tick(now.Add(TakeoverWait)), 1, "a member that does not answer delays grants for TakeoverWait only")
@@ -191,7 +191,7 @@
 // Guards against slots lost with a holder that stops reporting, and against a report that removes grants in transit.
 func TestAllocatorRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewGranter(testSelf, 1)
+	g := NewSlotAllocator(testSelf, 1)
 	g.Assign(testOffers(1, 8), nil, nil, now)
 	out := g.Demand("entry-1", Need{Tasks: Count{Short: 3}}, now)
 	require.Len(t, out, 1)
@@ -209,7 +209,7 @@
 // and free immediately once the member that may hold it has reported.
 func TestAllocatorReject(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewGranter(testSelf, 1)
+	g := NewSlotAllocator(testSelf, 1)
 	g.Assign(testOffers(1, 2), nil, nil, now)
 	out := g.Demand(testSelf, Need{Tasks: Count{Short: 2}}, now)
 	require.Equal(t, 2, out[0].Slots.Short)
@@ -219,7 +219,7 @@
 	require.Equal(t, 1, g.Free())
 
 	g.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now)
-	g.Rejoin("entry-1", now)
+	g.AwaitReport("entry-1", now)
 	require.Zero(t, g.Free())
 	g.Report("entry-1", nil, 0, true, now)
 	require.Equal(t, 2, g.Free())
@@ -229,7 +229,7 @@
 // more are recalled while the difference shrinks.
 func TestAllocatorRecalls(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewGranter(testSelf, 1)
+	g := NewSlotAllocator(testSelf, 1)
 	g.Assign(testOffers(2, 8), nil, nil, now)
 	g.Demand("entry-1", Need{Tasks: Count{Short: 30}}, now)
 	require.Zero(t, g.Free())
@@ -255,7 +255,7 @@
 // Guards the choice of worker: short work gets the fastest free worker, long work the slowest.
 func TestAllocatorWorkerChoice(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewGranter(testSelf, 1)
+	g := NewSlotAllocator(testSelf, 1)
 	g.Assign([]Offer{{Worker: "slow", Slots: 2, Speed: 0.5}, {Worker: "fast", Slots: 2, Speed: 2}}, nil, nil, now)
 	out := g.Demand(testSelf, Need{Tasks: Count{Short: 1, Long: 1}}, now)
 	require.Len(t, out, 2)
@@ -271,24 +271,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewDemandPlanner(testSelf)
 		slots := map[string]int{testSelf: 8, "entry-1": 16, "entry-2": 0, "entry-3": 40}
-		p.SetGranters(slots)
+		p.SetAllocators(slots)
 		now := time.Unix(1000, 0)
 		sent := make(map[string]Count)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			for name, n := range slots {
 				if rapid.Bool().Draw(t, "hint") {
-					p.Hint(name, rapid.IntRange(0, n).Draw(t, "free"), now)
+					p.RecordReply(name, rapid.IntRange(0, n).Draw(t, "free"), now)
 				}
 			}
 			need := Count{Short: rapid.IntRange(0, 60).Draw(t, "short"), Long: rapid.IntRange(0, 10).Draw(t, "long")}
 			for _, part := range p.Plan(need, now) {
-				sent[part.Granter] = part.Tasks
+				sent[part.Allocator] = part.Tasks
 			}
 			// Changes may be delayed by their interval; after it the parts add up to the need.
 			now = now.Add(demandRefreshInterval)
 			for _, part := range p.Plan(need, now) {
-				sent[part.Granter] = part.Tasks
+				sent[part.Allocator] = part.Tasks
 			}
 			var sum Count
 			for _, c := range sent {
@@ -303,15 +303,15 @@
 // Guards against a demand that is spread over allocators without free slots while one has enough.
 func TestDemandPlannerPrefersFreeSlots(t *testing.T) {
 	p := NewDemandPlanner(testSelf)
-	p.SetGranters(map[string]int{testSelf: 8, "entry-1": 8, "entry-2": 8})
+	p.SetAllocators(map[string]int{testSelf: 8, "entry-1": 8, "entry-2": 8})
 	now := time.Unix(1000, 0)
-	p.Hint("entry-1", 2, now)
-	p.Hint("entry-2", 6, now)
+	p.RecordReply("entry-1", 2, now)
+	p.RecordReply("entry-2", 6, now)
 	parts := p.Plan(Count{Short: 5}, now)
-	require.Equal(t, []DemandPart{{Granter: "entry-2", Tasks: Count{Short: 5}}}, parts)
-	p.Hint("entry-1", 8, now)
+	require.Equal(t, []DemandPart{{Allocator: "entry-2", Tasks: Count{Short: 5}}}, parts)
+	p.RecordReply("entry-1", 8, now)
 	require.Empty(t, p.Plan(Count{Short: 5}, now), "a reply is still in transit")
-	p.Overheard("entry-2", 0, now)
+	p.RecordUnsolicited("entry-2", 0, now)
 	require.Empty(t, p.Plan(Count{Short: 5}, now), "an older report does not answer the demand")
-	require.Equal(t, []DemandPart{{Granter: "entry-2"}}, p.Plan(Count{}, now), "a demand without a need is withdrawn")
+	require.Equal(t, []DemandPart{{Allocator: "entry-2"}}, p.Plan(Count{}, now), "a demand without a need is withdrawn")
 }
--- a/zone/granterview.go
+++ b/zone/allocatorview.go
@@ -25,7 +25,7 @@
 }
 
 // View returns all workers with their holders, ordered by worker and member.
-func (g *Granter) View() []WorkerGrants {
+func (g *SlotAllocator) View() []WorkerGrants {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []WorkerGrants
--- a/zone/rooms.go
+++ b/zone/capacity.go
@@ -8,8 +8,8 @@
 // Priorities is the number of priorities that owners report waiting work for; the last one includes all lower ones.
 const Priorities = 4
 
-// BackendRoom is the free capacity and the queue of one owner's workers for a back end.
-type BackendRoom struct {
+// BackendCapacity is the free capacity and the queue of one owner's workers for a back end.
+type BackendCapacity struct {
 	// Free and Slots count tasks of typical size: those that could start now, and those that fit when all workers are
 	// idle.
 	Free  int
@@ -19,7 +19,7 @@
 }
 
 // Wait estimates how long a task of a priority waits for free capacity.
-func (r *BackendRoom) Wait(priority int) time.Duration {
+func (r *BackendCapacity) Wait(priority int) time.Duration {
 	if r.Slots == 0 {
 		return noWorkersWait
 	}
@@ -48,12 +48,12 @@
 type ownerState struct {
 	domain     string
 	leaving    bool
-	capacities map[string]*BackendRoom
+	capacities map[string]*BackendCapacity
 }
 
-// Rooms is the view that the homes of jobs have of the owners of workers and their free capacity. Its mutex guards
+// CapacityView is the view that the homes of jobs have of the owners of workers and their free capacity. Its mutex guards
 // all fields but self and domain, which are not changed.
-type Rooms struct {
+type CapacityView struct {
 	self   string
 	domain string
 
@@ -61,20 +61,20 @@
 	owners map[string]*ownerState
 }
 
-// NewRooms returns an empty view for a member in a failure domain.
-func NewRooms(self, domain string) *Rooms {
-	return &Rooms{self: self, domain: domain, owners: make(map[string]*ownerState)}
+// NewCapacityView returns an empty view for a member in a failure domain.
+func NewCapacityView(self, domain string) *CapacityView {
+	return &CapacityView{self: self, domain: domain, owners: make(map[string]*ownerState)}
 }
 
 // Update replaces the capacities that an owner has reported.
-func (r *Rooms) Update(id, domain string, leaving bool, capacities map[string]*BackendRoom) {
+func (r *CapacityView) Update(id, domain string, leaving bool, capacities map[string]*BackendCapacity) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owners[id] = &ownerState{domain: domain, leaving: leaving, capacities: capacities}
 }
 
 // Remove deletes an owner.
-func (r *Rooms) Remove(id string) {
+func (r *CapacityView) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.owners, id)
@@ -82,7 +82,7 @@
 
 // Reserve chooses the owner at which a task is expected to start first, and counts the task there until the owner's
 // next report. Owners for which exclude returns true are skipped.
-func (r *Rooms) Reserve(
+func (r *CapacityView) Reserve(
 	backend string, priority int, expected time.Duration, exclude func(id string) bool,
 ) (string, bool) {
 	r.mu.Lock()
@@ -101,15 +101,15 @@
 
 // Wait returns the shortest expected wait of a task of that priority. It returns false if no owner has workers of the
 // back end.
-func (r *Rooms) Wait(backend string, priority int) (time.Duration, bool) {
+func (r *CapacityView) Wait(backend string, priority int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, capacity, wait := r.best(backend, priority, func(string) bool { return false })
 	return wait, capacity != nil
 }
 
-// FreeElsewhere reports whether an owner other than id has free capacity.
-func (r *Rooms) FreeElsewhere(backend, id string) bool {
+// OtherOwnerHasCapacity reports whether an owner other than id has free capacity.
+func (r *CapacityView) OtherOwnerHasCapacity(backend, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for other, o := range r.owners {
@@ -124,9 +124,9 @@
 }
 
 // best returns the owner with the lowest sum of expected wait and message cost. It expects r.mu to be held.
-func (r *Rooms) best(backend string, priority int, exclude func(id string) bool) (string, *BackendRoom, time.Duration) {
+func (r *CapacityView) best(backend string, priority int, exclude func(id string) bool) (string, *BackendCapacity, time.Duration) {
 	var bestID string
-	var bestCapacity *BackendRoom
+	var bestCapacity *BackendCapacity
 	var bestWait time.Duration
 	bestCost := time.Duration(-1)
 	for id, o := range r.owners {
@@ -144,14 +144,14 @@
 }
 
 // preferred breaks ties by the share of free capacity, so that owners of equal cost fill up evenly.
-func preferred(a, b *BackendRoom, aID, bID string) bool {
+func preferred(a, b *BackendCapacity, aID, bID string) bool {
 	if d := a.Free*b.Slots - b.Free*a.Slots; d != 0 {
 		return d > 0
 	}
 	return aID < bID
 }
 
-func (r *Rooms) messageCost(id string, o *ownerState) time.Duration {
+func (r *CapacityView) messageCost(id string, o *ownerState) time.Duration {
 	switch {
 	case id == r.self:
 		return 0
--- a/zone/demandplanner.go
+++ b/zone/demandplanner.go
@@ -28,9 +28,9 @@
 
 // DemandPart is the demand to send to one allocator; it replaces the previous one.
 type DemandPart struct {
-	Granter  string
-	Tasks    Count
-	Received uint64
+	Allocator string
+	Tasks     Count
+	Received  uint64
 }
 
 // DemandPlanner divides the unmet demand of one service between the slot allocators, so that no task is requested
@@ -58,8 +58,8 @@
 	return &DemandPlanner{self: self, allocators: make(map[string]*allocatorState)}
 }
 
-// SetGranters replaces the allocators; slots holds the number of slots that each one allocates.
-func (p *DemandPlanner) SetGranters(slots map[string]int) {
+// SetAllocators replaces the allocators; slots holds the number of slots that each one allocates.
+func (p *DemandPlanner) SetAllocators(slots map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, n := range slots {
@@ -82,8 +82,8 @@
 	return g
 }
 
-// Hint records the number of free slots that an allocator reported in reply to a demand.
-func (p *DemandPlanner) Hint(allocator string, free int, now time.Time) {
+// RecordReply records the number of free slots that an allocator reported in reply to a demand.
+func (p *DemandPlanner) RecordReply(allocator string, free int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if g, ok := p.allocators[allocator]; ok {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Overheard records the number of free slots that an allocator reported other than in reply to a demand. While a
+// RecordUnsolicited records the number of free slots that an allocator reported other than in reply to a demand. While a
 // demand may still be in transit to the allocator, a report of zero free slots does not answer it and must not move
 // the demand elsewhere.
-func (p *DemandPlanner) Overheard(allocator string, free int, now time.Time) {
+func (p *DemandPlanner) RecordUnsolicited(allocator string, free int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g, ok := p.allocators[allocator]
@@ -116,8 +116,8 @@
 	return float64(free) < scarceShare*float64(slots)
 }
 
-// Granted records a grant and subtracts it from the demand at the allocator.
-func (p *DemandPlanner) Granted(allocator string, c Count, number uint64) {
+// RecordGrant records a grant and subtracts it from the demand at the allocator.
+func (p *DemandPlanner) RecordGrant(allocator string, c Count, number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.allocator(allocator)
@@ -174,7 +174,7 @@
 	for i, g := range order {
 		if g.needsUpdate(target[i], need, now, g.name == p.self) {
 			g.requested, g.requestedAt = target[i], now
-			parts = append(parts, DemandPart{Granter: g.name, Tasks: target[i], Received: g.received})
+			parts = append(parts, DemandPart{Allocator: g.name, Tasks: target[i], Received: g.received})
 		}
 	}
 	return parts
--- a/zone/domain.go
+++ b/zone/domain.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// Heard records a message from the process that currently runs on a member.
-func (d *FailureDomain) Heard(id string, inc machine.Incarnation, leaving bool, now time.Time) []Change {
+// ObserveMessage records a message from the process that currently runs on a member.
+func (d *FailureDomain) ObserveMessage(id string, inc machine.Incarnation, leaving bool, now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.members[id]
--- a/zone/example_test.go
+++ b/zone/example_test.go
@@ -8,9 +8,9 @@
 )
 
 // The slot allocator of a worker grants its slots to the members that have work, and takes them back.
-func ExampleGranter() {
+func ExampleSlotAllocator() {
 	now := time.Unix(0, 0)
-	g := zone.NewGranter("entry-1", 1)
+	g := zone.NewSlotAllocator("entry-1", 1)
 	g.Assign([]zone.Offer{{Worker: "worker-1", Slots: 8, Speed: 1}}, nil, nil, now)
 	for _, a := range g.Demand("entry-2", zone.Need{Tasks: zone.Count{Short: 3}}, now) {
 		fmt.Println(a.Member, a.Worker, a.Slots.Short)
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -97,9 +97,9 @@
 	return r
 }
 
-// Heard records a message from an incarnation. It returns accepted=false if the message must not be acknowledged, and
+// ObserveMessage records a message from an incarnation. It returns accepted=false if the message must not be acknowledged, and
 // fresh=true for the first message of an incarnation.
-func (h *Homes) Heard(vm string, inc machine.Incarnation, now time.Time) (accepted, fresh bool) {
+func (h *Homes) ObserveMessage(vm string, inc machine.Incarnation, now time.Time) (accepted, fresh bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(inc, vm)
@@ -115,9 +115,9 @@
 	return true, fresh
 }
 
-// Know records that another member has received a message from an incarnation. Without it, a home that crashes would
+// AddReported records that another member has received a message from an incarnation. Without it, a home that crashes would
 // be forgotten if all members that received its messages are replaced before its end is detected.
-func (h *Homes) Know(vm string, inc machine.Incarnation, now time.Time) {
+func (h *Homes) AddReported(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, ok := h.records[inc]; !ok {
@@ -187,23 +187,23 @@
 	}
 }
 
-// Ended records that an incarnation has ended, as reported by another member.
-func (h *Homes) Ended(vm string, inc machine.Incarnation, now time.Time) {
+// MarkGone records that an incarnation has ended, as reported by another member.
+func (h *Homes) MarkGone(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.end(h.record(inc, vm), now)
 }
 
-// Succeed records the successor of a home, as announced by the home. A complete succession is never reverted; before
+// SetSuccession records the successor of a home, as announced by the home. A complete succession is never reverted; before
 // that the home may choose another successor. It reports whether a complete succession is new.
-func (h *Homes) Succeed(s Succession, now time.Time) bool {
+func (h *Homes) SetSuccession(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.setSuccession(s, now)
 }
 
-// Learn is Succeed for reports from other members, which may be older than what is known.
-func (h *Homes) Learn(s Succession, now time.Time) bool {
+// SetReportedSuccession is Succeed for reports from other members, which may be older than what is known.
+func (h *Homes) SetReportedSuccession(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r, ok := h.records[s.Home]; ok && r.succession.Successor != 0 && !s.Complete {
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -33,7 +33,7 @@
 				sent := now
 				lease.Sent(m, sent)
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "delay")) * time.Millisecond)
-				if ok, _ := members[m].Heard("a", home, now); ok && rapid.Bool().Draw(t, "acknowledged") {
+				if ok, _ := members[m].ObserveMessage("a", home, now); ok && rapid.Bool().Draw(t, "acknowledged") {
 					lease.Acknowledged(m, sent)
 				}
 			},
@@ -61,17 +61,17 @@
 	h := NewHomes()
 	now := time.Unix(1000, 0)
 	for vm, inc := range map[string]machine.Incarnation{"a": 1, "b": 2, "c": 3} {
-		ok, fresh := h.Heard(vm, inc, now)
+		ok, fresh := h.ObserveMessage(vm, inc, now)
 		require.True(t, ok && fresh)
 	}
-	h.Succeed(Succession{Home: 1, VM: "a", Successor: 2, SuccessorVM: "b"}, now)
+	h.SetSuccession(Succession{Home: 1, VM: "a", Successor: 2, SuccessorVM: "b"}, now)
 	require.Equal(t, machine.Incarnation(1), h.Locate(1, now).Incarnation, "the home still answers")
-	h.Succeed(Succession{Home: 1, VM: "a", Successor: 2, SuccessorVM: "b", Complete: true}, now)
-	h.Succeed(Succession{Home: 2, VM: "b", Successor: 3, SuccessorVM: "c"}, now)
+	h.SetSuccession(Succession{Home: 1, VM: "a", Successor: 2, SuccessorVM: "b", Complete: true}, now)
+	h.SetSuccession(Succession{Home: 2, VM: "b", Successor: 3, SuccessorVM: "c"}, now)
 	require.Equal(t, machine.Incarnation(2), h.Locate(1, now).Incarnation)
-	h.Heard("b", 20, now)
+	h.ObserveMessage("b", 20, now)
 	require.Equal(t, Home{State: HomeRunning, VM: "c", Incarnation: 3}, h.Locate(1, now))
-	h.Succeed(Succession{Home: 3, VM: "c", Successor: 1, SuccessorVM: "a", Complete: true}, now)
+	h.SetSuccession(Succession{Home: 3, VM: "c", Successor: 1, SuccessorVM: "a", Complete: true}, now)
 	require.Equal(t, HomeUnknown, h.Locate(1, now).State)
 }
 
@@ -79,10 +79,10 @@
 func TestReplacedIncarnationIsGoneAtOnce(t *testing.T) {
 	h := NewHomes()
 	now := time.Unix(1000, 0)
-	h.Heard("a", 1, now)
-	h.Heard("a", 2, now)
+	h.ObserveMessage("a", 1, now)
+	h.ObserveMessage("a", 2, now)
 	require.Equal(t, HomeGone, h.Locate(1, now).State)
-	ok, _ := h.Heard("a", 1, now)
+	ok, _ := h.ObserveMessage("a", 1, now)
 	require.False(t, ok)
 	require.True(t, h.Refuses(1))
 	require.Equal(t, HomeRunning, h.Locate(2, now).State)
@@ -92,7 +92,7 @@
 func TestDroppedHomeIsGoneAfterSilenceLimit(t *testing.T) {
 	h := NewHomes()
 	now := time.Unix(1000, 0)
-	h.Heard("a", 1, now)
+	h.ObserveMessage("a", 1, now)
 	h.ApplyList(map[string]bool{"a": true}, now)
 	h.ApplyList(nil, now)
 	require.Equal(t, HomeSilent, h.Locate(1, now).State)
@@ -108,7 +108,7 @@
 	d := NewFailureDomain(1, "self")
 	now := time.Unix(1000, 0)
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1}}, now)
-	d.Heard("a", 1, false, now)
+	d.ObserveMessage("a", 1, false, now)
 	var gone time.Duration
 	for t := time.Duration(0); t <= 3*time.Second; t += 500 * time.Millisecond {
 		for _, c := range d.Tick(now.Add(t)) {
@@ -125,13 +125,13 @@
 	d := NewFailureDomain(1, "self")
 	now := time.Unix(1000, 0)
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1}}, now)
-	d.Heard("a", 1, false, now)
-	changes := d.Heard("a", 2, false, now)
+	d.ObserveMessage("a", 1, false, now)
+	changes := d.ObserveMessage("a", 2, false, now)
 	require.Equal(t, MemberGone, changes[0].To)
 	require.Equal(t, machine.Incarnation(1), changes[0].VM.Incarnation)
 	require.Equal(t, MemberLive, changes[1].To)
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1, Leaving: true}}, now)
-	d.Heard("a", 3, false, now)
+	d.ObserveMessage("a", 3, false, now)
 	require.Empty(t, d.Live(), "leaving is never reverted")
 }
 
@@ -141,12 +141,12 @@
 	now := time.Unix(1000, 0)
 	leaving := []Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1, Leaving: true}}
 	d.ApplyList(leaving, now)
-	d.Heard("a", 1, false, now)
+	d.ObserveMessage("a", 1, false, now)
 	now = now.Add(SilenceLimit + time.Millisecond)
 	require.Len(t, d.Tick(now), 1)
 	require.Empty(t, d.ApplyList(leaving, now))
 	require.Empty(t, d.Tick(now))
-	d.Heard("a", 1, false, now)
+	d.ObserveMessage("a", 1, false, now)
 	require.Empty(t, d.Live())
 }
 
@@ -157,7 +157,7 @@
 	const home, next = machine.Incarnation(7), machine.Incarnation(8)
 	now := time.Unix(1000, 0)
 	dropped := NewHomes()
-	dropped.Know("a", home, now)
+	dropped.AddReported("a", home, now)
 	require.Equal(t, HomeRunning, dropped.Locate(home, now).State)
 	dropped.ApplyList(map[string]bool{"a": true}, now)
 	dropped.ApplyList(map[string]bool{}, now)
@@ -165,15 +165,15 @@
 	require.Equal(t, HomeGone, dropped.Locate(home, now).State)
 
 	restarted := NewHomes()
-	restarted.Know("a", home, now)
+	restarted.AddReported("a", home, now)
 	later := now.Add(SilenceLimit)
-	restarted.Heard("a", next, later)
+	restarted.ObserveMessage("a", next, later)
 	restarted.ApplyList(map[string]bool{"a": true}, later)
 	require.Equal(t, HomeGone, restarted.Locate(home, later).State)
 
 	stale := NewHomes()
-	stale.Heard("a", home, now)
-	stale.Know("a", next, now)
+	stale.ObserveMessage("a", home, now)
+	stale.AddReported("a", next, now)
 	stale.ApplyList(map[string]bool{"a": true}, later)
 	require.Equal(t, HomeRunning, stale.Locate(next, later).State)
 }
@@ -184,11 +184,11 @@
 	const home = machine.Incarnation(7)
 	now := time.Unix(1000, 0)
 	h := NewHomes()
-	h.Know("new", home, now)
+	h.AddReported("new", home, now)
 	h.ApplyList(map[string]bool{}, now)
 	h.ApplyList(map[string]bool{}, now.Add(2*SilenceLimit))
 	require.Equal(t, HomeRunning, h.Locate(home, now).State)
-	accepted, _ := h.Heard("new", home, now.Add(2*SilenceLimit))
+	accepted, _ := h.ObserveMessage("new", home, now.Add(2*SilenceLimit))
 	require.True(t, accepted)
 	h.ApplyList(map[string]bool{}, now.Add(unlistedLimit))
 	h.ApplyList(map[string]bool{}, now.Add(2*unlistedLimit))
--- a/zone/recall.go
+++ b/zone/recall.go
@@ -41,7 +41,7 @@
 }
 
 // Recalls returns the slots to recall for the short work that has waited longest while no slot is free.
-func (g *Granter) Recalls(now time.Time) []Recall {
+func (g *SlotAllocator) Recalls(now time.Time) []Recall {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.short.Len() > 0 || now.Sub(g.recall.at) < recallInterval {
@@ -81,7 +81,7 @@
 
 // holders returns the members that may have to return slots for the demander, ordered by the wait of their oldest
 // task, shortest first. It expects g.mu to be held.
-func (g *Granter) holders(demander string, wait time.Duration, now time.Time) []holder {
+func (g *SlotAllocator) holders(demander string, wait time.Duration, now time.Time) []holder {
 	slots := make(map[string]int)
 	for _, w := range g.workers {
 		for n, h := range w.held {
@@ -112,7 +112,7 @@
 
 // gapGrows reports whether the difference between the waits still grows. While it shrinks, the slots already recalled
 // suffice, and recalling more would reverse the difference. It expects g.mu to be held.
-func (g *Granter) gapGrows(demander string, youngest holder, wait time.Duration) bool {
+func (g *SlotAllocator) gapGrows(demander string, youngest holder, wait time.Duration) bool {
 	gap := wait - youngest.wait
 	before, same := g.recall.gap, g.recall.demander == demander
 	g.recall.demander, g.recall.gap = demander, gap
@@ -120,7 +120,7 @@
 }
 
 // outstanding counts the recalled slots that may still be returned. It expects g.mu to be held.
-func (g *Granter) outstanding(now time.Time) int {
+func (g *SlotAllocator) outstanding(now time.Time) int {
 	n := 0
 	for _, m := range g.members {
 		if now.Sub(m.recalledAt) > recallTimeout {
--- a/zone/outgrow.go
+++ b/zone/reclassify.go
@@ -6,9 +6,9 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Outgrow reclassifies a member's short slot as long, because its task has exceeded the short-task limit. The cap on
+// ReclassifyAsLong reclassifies a member's short slot as long, because its task has exceeded the short-task limit. The cap on
 // long work then admits fewer new long tasks.
-func (g *Granter) Outgrow(member string, worker machine.WorkerID, now time.Time) {
+func (g *SlotAllocator) ReclassifyAsLong(member string, worker machine.WorkerID, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w, ok := g.workers[worker]
