--- a/customer/admission_test.go
+++ b/customer/admission_test.go
@@ -167,7 +167,7 @@
 		total := a.Held + b.Held
 		moves := 0
 		for moves <= 40 {
-			toB, toA := QuotaToGive(a, b), QuotaToGive(b, a)
+			toB, toA := TransferAmount(a, b), TransferAmount(b, a)
 			require.True(t, toA == 0 || toB == 0, "both sides would transfer quota")
 			if toA+toB == 0 {
 				break
--- a/customer/quota.go
+++ b/customer/quota.go
@@ -6,10 +6,10 @@
 	Demand int
 }
 
-// QuotaToGive returns how much of its share a holder transfers to another one that requests quota. A holder with spare
+// TransferAmount returns how much of its share a holder transfers to another one that requests quota. A holder with spare
 // quota gives half of it. If both lack quota, the shares move half way towards the ratio of the demands, so that they
 // converge without oscillating.
-func QuotaToGive(mine, theirs QuotaNeed) int {
+func TransferAmount(mine, theirs QuotaNeed) int {
 	need := theirs.Demand - theirs.Held
 	if need <= 0 || mine.Held <= 0 {
 		return 0
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -24,7 +24,7 @@
 )
 
 // admission decides whether to accept a job with its items. Its errors prove that no task of the job was started.
-func (d *Dispatcher) admission(sched *Lane, spec *contract.JobSpec, items []customer.Item, now time.Time) error {
+func (d *Dispatcher) admission(sched *Scheduler, spec *contract.JobSpec, items []customer.Item, now time.Time) error {
 	if err := d.checkKinds(items, spec.Service, now); err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	for i := range items {
 		bytes += items[i].Bytes
 	}
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		depth := sched.queue.Depth()
 		tasks += depth.Waiting
 		bytes += depth.Bytes
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -40,8 +40,8 @@
 	dispatcher *dispatch.Dispatcher
 }
 
-func (b *localBroker) Granter(machine.WorkerID) string { return benchSelf }
-func (b *localBroker) Scarce(string) bool              { return false }
+func (b *localBroker) Allocator(machine.WorkerID) string { return benchSelf }
+func (b *localBroker) Scarce(string) bool                { return false }
 
 func (b *localBroker) Demand(d contract.SlotDemand) {
 	b.deliver(b.allocator.Demand(benchSelf, zone.Need{Tasks: zone.Count{Short: d.Short, Long: d.Long}}, time.Now()))
--- a/dispatch/customers.go
+++ b/dispatch/customers.go
@@ -16,7 +16,7 @@
 	if !d.teams.Apply(s) {
 		return nil
 	}
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		sched.queue.ApplyWeights()
 		d.execute(sched, sched.Match(d.o.Now()))
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return p, err
 	}
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		sched.queue.Reconfigure(id, deadline, priority)
 	}
 	return p, nil
@@ -47,7 +47,7 @@
 
 // dequeue removes the waiting tasks of a job from the queues and reports the reduced demand.
 func (d *Dispatcher) dequeue(id contract.JobID) {
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		if sched.queue.Cancel(id) > 0 {
 			d.execute(sched, sched.Match(d.o.Now()))
 		}
@@ -62,7 +62,7 @@
 }
 
 func (d *Dispatcher) wakeTeam(k customer.TeamKey) {
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		if sched.queue.Wake(k) {
 			d.execute(sched, sched.Match(d.o.Now()))
 		}
@@ -72,7 +72,7 @@
 // TeamDemand returns the number of a team's tasks that run or wait on this entry VM.
 func (d *Dispatcher) TeamDemand(k customer.TeamKey) int {
 	n := d.teams.Running(k)
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		n += sched.queue.WaitingOf(k)
 	}
 	return n
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -40,8 +40,8 @@
 	Capacity func(service string) (slots float64, workers int)
 	// HealthChanged is called with the new state when the health of a worker has changed; it may be nil.
 	HealthChanged func(machine.WorkerID, machine.HealthState)
-	// SlotOutgrown is called when a slot is reclassified as held by long work; it may be nil.
-	SlotOutgrown func(service string, worker machine.WorkerID)
+	// SlotReclassified is called when a slot is reclassified as held by long work; it may be nil.
+	SlotReclassified func(service string, worker machine.WorkerID)
 	// MaxWaiting and MaxWaitingBytes bound the waiting tasks and their payloads; zero selects the defaults.
 	MaxWaiting      int
 	MaxWaitingBytes int
@@ -65,7 +65,7 @@
 	retries  RetryBudget
 
 	mu         sync.RWMutex
-	schedulers map[string]*Lane
+	schedulers map[string]*Scheduler
 	draining   bool
 }
 
@@ -91,7 +91,7 @@
 func New(o Options) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Dispatcher{
-		o: o, ctx: ctx, cancel: cancel, counters: newCounters(o.Metrics), schedulers: make(map[string]*Lane),
+		o: o, ctx: ctx, cancel: cancel, counters: newCounters(o.Metrics), schedulers: make(map[string]*Scheduler),
 		teams: customer.NewTeams(o.DistributedQuotas), tasks: newRunningTasks(),
 	}
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	d.schedulers[s.Name()] = NewScheduler(s, customer.NewQueue(d.teams), SchedulerOptions{
-		Speed: d.workerSpeed, Allocator: d.o.Broker.Granter, Scarce: d.o.Broker.Scarce, Self: d.o.Self,
+		Speed: d.workerSpeed, Allocator: d.o.Broker.Allocator, Scarce: d.o.Broker.Scarce, Self: d.o.Self,
 		Placement: d.o.Placement, Leaving: d.workerLeaving, MayStart: d.mayStart,
 	})
 }
@@ -130,18 +130,18 @@
 	return w.Incarnation()
 }
 
-func (d *Dispatcher) scheduler(service string) (*Lane, bool) {
+func (d *Dispatcher) scheduler(service string) (*Scheduler, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	sched, ok := d.schedulers[service]
 	return sched, ok
 }
 
-// Lanes returns the schedulers of all services.
-func (d *Dispatcher) Lanes() []*Lane {
+// Schedulers returns the schedulers of all services.
+func (d *Dispatcher) Schedulers() []*Scheduler {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	schedulers := make([]*Lane, 0, len(d.schedulers))
+	schedulers := make([]*Scheduler, 0, len(d.schedulers))
 	for _, sched := range d.schedulers {
 		schedulers = append(schedulers, sched)
 	}
@@ -293,11 +293,11 @@
 	}
 }
 
-// Lane returns the scheduler of a service.
-func (d *Dispatcher) Lane(service string) (*Lane, bool) { return d.scheduler(service) }
+// Scheduler returns the scheduler of a service.
+func (d *Dispatcher) Scheduler(service string) (*Scheduler, bool) { return d.scheduler(service) }
 
 // execute carries out a plan. The lock of the scheduler must not be held.
-func (d *Dispatcher) execute(sched *Lane, p Plan) {
+func (d *Dispatcher) execute(sched *Scheduler, p Plan) {
 	for _, a := range p.Assignments {
 		d.running.Add(1)
 		go d.run(sched, a)
@@ -342,7 +342,7 @@
 // has to be called periodically.
 func (d *Dispatcher) Tick() {
 	now := d.o.Now()
-	for _, sched := range d.Lanes() {
+	for _, sched := range d.Schedulers() {
 		d.execute(sched, sched.Tick(now))
 	}
 	d.checkRunning(now)
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -45,7 +45,7 @@
 }
 
 // observeRejection updates the health of a worker that has rejected a start.
-func (d *Dispatcher) observeRejection(sched *Lane, a Assignment, now time.Time) {
+func (d *Dispatcher) observeRejection(sched *Scheduler, a Assignment, now time.Time) {
 	w, ok := d.o.Fleet.Get(a.Slot.Worker)
 	if !ok {
 		return
--- a/dispatch/match.go
+++ b/dispatch/match.go
@@ -12,7 +12,7 @@
 
 // match assigns waiting tasks to slots unless starts are suspended, and adjusts the holdings to the rest. It expects
 // sched.mu to be held.
-func (sched *Lane) match(now time.Time) Plan {
+func (sched *Scheduler) match(now time.Time) Plan {
 	var plan Plan
 	sched.queue.Advance(now)
 	sched.suspended = sched.stopped || sched.o.MayStart != nil && !sched.o.MayStart()
@@ -33,7 +33,7 @@
 // assignSlots assigns waiting tasks to idle slots. Among the tasks that start together, long work gets the slowest
 // workers and the longest short tasks get the fastest ones, since they determine when their job completes. It expects
 // sched.mu to be held.
-func (sched *Lane) assignSlots(plan *Plan, now time.Time) {
+func (sched *Scheduler) assignSlots(plan *Plan, now time.Time) {
 	for sched.holdings.Idle() > 0 {
 		items, long := sched.popTasks()
 		if len(items) == 0 {
@@ -57,7 +57,7 @@
 }
 
 // requeue puts back tasks for which no slot was left. It expects sched.mu to be held.
-func (sched *Lane) requeue(items []customer.Item) {
+func (sched *Scheduler) requeue(items []customer.Item) {
 	for i := range items {
 		sched.queue.Refund(items[i])
 		items[i].Charged = false
@@ -67,7 +67,7 @@
 
 // popTasks removes up to as many tasks from the queue as there are idle slots. It returns them with the long ones
 // first, and the number of long ones. It expects sched.mu to be held.
-func (sched *Lane) popTasks() ([]customer.Item, int) {
+func (sched *Scheduler) popTasks() ([]customer.Item, int) {
 	idle, idleLong := sched.holdings.Idle(), sched.holdings.IdleLong()
 	depth := sched.queue.Depth()
 	items := make([]customer.Item, 0, min(idle, depth.Short+depth.Long))
@@ -97,7 +97,7 @@
 // takeUsable takes an idle slot into use and returns expiring ones to their allocators. Slots of a leaving worker are
 // returned as rejected, so that an allocator that has not seen the worker list withholds them instead of granting them
 // again. It expects sched.mu to be held.
-func (sched *Lane) takeUsable(take func() (contract.Slot, bool), plan *Plan, now time.Time) (contract.Slot, bool) {
+func (sched *Scheduler) takeUsable(take func() (contract.Slot, bool), plan *Plan, now time.Time) (contract.Slot, bool) {
 	for {
 		s, ok := take()
 		leaving := ok && sched.o.Leaving != nil && sched.o.Leaving(s.Worker)
@@ -112,7 +112,7 @@
 }
 
 // assignByPolicy assigns waiting tasks to workers that a baseline policy chooses. It expects sched.mu to be held.
-func (sched *Lane) assignByPolicy(plan *Plan, now time.Time) {
+func (sched *Scheduler) assignByPolicy(plan *Plan, now time.Time) {
 	for {
 		worker, ok := sched.o.Placement.Choose(sched.service.Name(), now)
 		if !ok {
@@ -128,6 +128,6 @@
 }
 
 // usable reports whether the grant of a slot remains valid long enough for a start.
-func (sched *Lane) usable(s contract.Slot, now time.Time) bool {
+func (sched *Scheduler) usable(s contract.Slot, now time.Time) bool {
 	return now.Add(startMargin).Before(sched.holdings.Expires(s))
 }
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (f *fakeWorkers) Act(_ context.Context, r StartRequest, a backend.StragglerAction) (ControlReply, error) {
+func (f *fakeWorkers) ApplyAction(_ context.Context, r StartRequest, a backend.StragglerAction) (ControlReply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.actions = append(f.actions, a)
@@ -81,9 +81,9 @@
 	held map[machine.WorkerID]int
 }
 
-func (b *fakeBroker) Granter(machine.WorkerID) string { return "self" }
-func (b *fakeBroker) Scarce(string) bool              { return true }
-func (b *fakeBroker) Demand(dm contract.SlotDemand)   { go b.grant(dm) }
+func (b *fakeBroker) Allocator(machine.WorkerID) string { return "self" }
+func (b *fakeBroker) Scarce(string) bool                { return true }
+func (b *fakeBroker) Demand(dm contract.SlotDemand)     { go b.grant(dm) }
 func (b *fakeBroker) Return(rs []contract.SlotReturn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -289,7 +289,7 @@
 		_, err := b.d.Reconfigure(third, time.Time{}, 5)
 		require.NoError(t, err)
 		require.NoError(t, b.d.Cancel(first))
-		sched, _ := b.d.Lane("s")
+		sched, _ := b.d.Scheduler("s")
 		require.Equal(t, 10, sched.View().Depth.Waiting)
 		b.run(600 * time.Millisecond)
 		require.Equal(t, contract.VerdictComplete, b.answer(t, third).Verdict)
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -54,14 +54,14 @@
 	}
 }
 
-// DropIdle returns all idle slots, because their grants may have expired while the process was paused.
-func (d *Dispatcher) DropIdle() {
-	for _, sched := range d.Lanes() {
+// ReturnIdle returns all idle slots, because their grants may have expired while the process was paused.
+func (d *Dispatcher) ReturnIdle() {
+	for _, sched := range d.Schedulers() {
 		d.execute(sched, sched.dropIdle())
 	}
 }
 
-func (sched *Lane) dropIdle() Plan {
+func (sched *Scheduler) dropIdle() Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return Plan{Returns: sched.returns(sched.holdings.DropIdle(func(contract.Slot) bool { return true }))}
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -27,7 +27,7 @@
 func (d *Dispatcher) mayStart() bool { return d.o.MayStart == nil || d.o.MayStart() }
 
 // run starts one task and records its outcome.
-func (d *Dispatcher) run(sched *Lane, a Assignment) {
+func (d *Dispatcher) run(sched *Scheduler, a Assignment) {
 	defer d.running.Done()
 	ticket, ok := d.o.Table.Start(a.Item.Task, string(a.Slot.Worker))
 	if !ok {
@@ -102,7 +102,7 @@
 
 // notStarted requeues a task whose start is proven not to have happened. released is set if its slot was already given
 // up.
-func (d *Dispatcher) notStarted(sched *Lane, a Assignment, released bool, cause error) {
+func (d *Dispatcher) notStarted(sched *Scheduler, a Assignment, released bool, cause error) {
 	d.counters.rejected.Inc(1)
 	if fault.Reason(cause) == fault.ReasonNotSent {
 		d.counters.notSent.Inc(1)
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -29,14 +29,14 @@
 type TaskControl interface {
 	// Renew extends the lease of a running task.
 	Renew(ctx context.Context, req StartRequest) error
-	// Act throttles, checkpoints or stops a running task. The start of a stopped task reports it as failed.
-	Act(ctx context.Context, req StartRequest, action backend.StragglerAction) (ControlReply, error)
+	// ApplyAction throttles, checkpoints or stops a running task. The start of a stopped task reports it as failed.
+	ApplyAction(ctx context.Context, req StartRequest, action backend.StragglerAction) (ControlReply, error)
 }
 
 // runningTask is a task whose start was sent. The lock of its shard guards assignment.Slot and the fields from renewed
 // on.
 type runningTask struct {
-	scheduler  *Lane
+	scheduler  *Scheduler
 	assignment Assignment
 	req        StartRequest
 	started    time.Time
@@ -74,7 +74,7 @@
 	return &r.shards[(id.Job.Seq+uint64(id.Index))%runningShards]
 }
 
-func (r *runningTasks) add(sched *Lane, a Assignment, req StartRequest, now time.Time) *runningTask {
+func (r *runningTasks) add(sched *Scheduler, a Assignment, req StartRequest, now time.Time) *runningTask {
 	t := &runningTask{scheduler: sched, assignment: a, req: req, started: now, renewed: now}
 	s := r.shard(a.Item.Task)
 	s.mu.Lock()
@@ -213,8 +213,8 @@
 	d.counters.reclassified.Inc(1)
 	d.o.Timeline.Task(timeline.TaskStraggling, t.req.Ticket.Task, t.req.Worker, "outgrew its class")
 	t.assignment.Item.Kind.AddReclassified()
-	if d.tasks.markLong(t) && d.o.SlotOutgrown != nil {
-		d.o.SlotOutgrown(t.scheduler.service.Name(), t.req.Worker)
+	if d.tasks.markLong(t) && d.o.SlotReclassified != nil {
+		d.o.SlotReclassified(t.scheduler.service.Name(), t.req.Worker)
 	}
 }
 
@@ -224,7 +224,7 @@
 }
 
 func (d *Dispatcher) applyAction(t *runningTask, action backend.StragglerAction) {
-	reply, err := d.o.Control.Act(d.ctx, t.req, action)
+	reply, err := d.o.Control.ApplyAction(d.ctx, t.req, action)
 	if err != nil {
 		d.o.Logger.Debug("straggler action failed", "task", t.req.Ticket.Task, "worker", t.req.Worker, "error", err)
 		return
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -57,9 +57,9 @@
 	Placement *Placement
 }
 
-// Lane is the scheduler of one service: it holds the service's waiting tasks and slots on this entry VM. mu guards the
+// Scheduler is the scheduler of one service: it holds the service's waiting tasks and slots on this entry VM. mu guards the
 // fields below it and is acquired before the lock of the queue.
-type Lane struct {
+type Scheduler struct {
 	service *backend.Service
 	queue   *customer.Queue
 	o       SchedulerOptions
@@ -85,15 +85,15 @@
 }
 
 // NewScheduler returns the scheduler of a service, without slots.
-func NewScheduler(service *backend.Service, queue *customer.Queue, o SchedulerOptions) *Lane {
-	return &Lane{service: service, queue: queue, o: o, recalls: make(map[string]recall)}
+func NewScheduler(service *backend.Service, queue *customer.Queue, o SchedulerOptions) *Scheduler {
+	return &Scheduler{service: service, queue: queue, o: o, recalls: make(map[string]recall)}
 }
 
 // Service returns the service whose tasks are scheduled.
-func (sched *Lane) Service() *backend.Service { return sched.service }
+func (sched *Scheduler) Service() *backend.Service { return sched.service }
 
 // Push queues tasks and matches them with idle slots.
-func (sched *Lane) Push(items []customer.Item, now time.Time) Plan {
+func (sched *Scheduler) Push(items []customer.Item, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	for i := range items {
@@ -104,7 +104,7 @@
 }
 
 // AddGrants adds granted slots and matches them with waiting tasks.
-func (sched *Lane) AddGrants(grants []contract.SlotGrant, now time.Time) Plan {
+func (sched *Scheduler) AddGrants(grants []contract.SlotGrant, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	for _, g := range grants {
@@ -122,7 +122,7 @@
 }
 
 // Release frees a slot after its task has ended. The slot is kept for waiting work unless it has been recalled.
-func (sched *Lane) Release(s contract.Slot, now time.Time) Plan {
+func (sched *Scheduler) Release(s contract.Slot, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	if sched.o.Placement != nil {
@@ -140,7 +140,7 @@
 }
 
 // Reject returns a slot whose worker rejected the start. full is set if the worker had no free slot.
-func (sched *Lane) Reject(s contract.Slot, full bool, now time.Time) Plan {
+func (sched *Scheduler) Reject(s contract.Slot, full bool, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	if sched.o.Placement != nil {
@@ -157,7 +157,7 @@
 
 // Recall returns up to n idle slots of an allocator that no task waits for. The remaining ones of the n are returned as
 // they become free.
-func (sched *Lane) Recall(allocator string, n int, wait time.Duration, now time.Time) Plan {
+func (sched *Scheduler) Recall(allocator string, n int, wait time.Duration, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	plan := sched.match(now)
@@ -177,7 +177,7 @@
 }
 
 // recalled reports whether a slot that becomes free has to be returned. It expects sched.mu to be held.
-func (sched *Lane) recalled(s contract.Slot, now time.Time) bool {
+func (sched *Scheduler) recalled(s contract.Slot, now time.Time) bool {
 	if len(sched.recalls) == 0 {
 		return false
 	}
@@ -200,7 +200,7 @@
 }
 
 // Match pairs waiting tasks with idle slots.
-func (sched *Lane) Match(now time.Time) Plan {
+func (sched *Scheduler) Match(now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return sched.match(now)
@@ -208,7 +208,7 @@
 
 // Tick returns slots that have exceeded their idle timeout or whose grant is about to expire, and reports the demand
 // again.
-func (sched *Lane) Tick(now time.Time) Plan {
+func (sched *Scheduler) Tick(now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	plan := sched.match(now)
@@ -226,7 +226,7 @@
 
 // idleReturns gives up the slots that have exceeded their idle timeout, along with others of the same allocators to
 // save messages. It expects sched.mu to be held.
-func (sched *Lane) idleReturns(now time.Time) []contract.SlotReturn {
+func (sched *Scheduler) idleReturns(now time.Time) []contract.SlotReturn {
 	allocators := make(map[string]bool)
 	linger := idleTimeout
 	if sched.o.Scarce(sched.service.Name()) {
@@ -250,7 +250,7 @@
 // adjustHoldings reports a demand that has increased or dropped to zero, and returns idle slots that no task waits
 // for: those of this VM's own workers, which need no message, and all used ones if free slots are scarce. Other changes
 // of the demand are reported by the next tick. It expects sched.mu to be held.
-func (sched *Lane) adjustHoldings(plan *Plan, depth customer.Depth, now time.Time) {
+func (sched *Scheduler) adjustHoldings(plan *Plan, depth customer.Depth, now time.Time) {
 	if sched.holdings.Idle() > 0 && depth.Short == 0 {
 		scarce := sched.o.Scarce(sched.service.Name())
 		plan.Returns = append(plan.Returns, sched.returns(sched.holdings.DropIdle(func(s contract.Slot) bool {
@@ -266,7 +266,7 @@
 }
 
 // demand returns the present demand. It expects sched.mu to be held.
-func (sched *Lane) demand(now time.Time) contract.SlotDemand {
+func (sched *Scheduler) demand(now time.Time) contract.SlotDemand {
 	d := contract.SlotDemand{Service: sched.service.Name()}
 	if sched.stopped {
 		return d
@@ -278,21 +278,21 @@
 }
 
 // Demand returns the present demand under a new version and records it as reported.
-func (sched *Lane) Demand(now time.Time) contract.SlotDemand {
+func (sched *Scheduler) Demand(now time.Time) contract.SlotDemand {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return *sched.report(sched.demand(now))
 }
 
 // report records a demand as reported and gives it the next version. It expects sched.mu to be held.
-func (sched *Lane) report(d contract.SlotDemand) *contract.SlotDemand {
+func (sched *Scheduler) report(d contract.SlotDemand) *contract.SlotDemand {
 	d.Version = sched.reported.Version + 1
 	sched.reported = d
 	return &d
 }
 
 // returns converts slots to returns and merges adjacent slots of the same worker.
-func (sched *Lane) returns(slots []contract.Slot) []contract.SlotReturn {
+func (sched *Scheduler) returns(slots []contract.Slot) []contract.SlotReturn {
 	var out []contract.SlotReturn
 	for _, s := range slots {
 		r := sched.returnOf(s)
@@ -307,7 +307,7 @@
 	return out
 }
 
-func (sched *Lane) returnOf(s contract.Slot) contract.SlotReturn {
+func (sched *Scheduler) returnOf(s contract.Slot) contract.SlotReturn {
 	r := contract.SlotReturn{Service: sched.service.Name(), Worker: s.Worker}
 	if s.Long {
 		r.Long = 1
@@ -321,28 +321,28 @@
 }
 
 // Renew extends the grants of the workers for which renewed returns true.
-func (sched *Lane) Renew(until time.Time, renewed func(machine.WorkerID) bool) {
+func (sched *Scheduler) Renew(until time.Time, renewed func(machine.WorkerID) bool) {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	sched.holdings.Renew(until, renewed)
 }
 
 // Held returns the number of held slots of each worker.
-func (sched *Lane) Held() []contract.HeldSlots {
+func (sched *Scheduler) Held() []contract.HeldSlots {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return sched.holdings.Held()
 }
 
-// Waited returns how long the oldest waiting short task has waited, or zero if none waits.
-func (sched *Lane) Waited(now time.Time) time.Duration {
+// OldestShortWait returns how long the oldest waiting short task has waited, or zero if none waits.
+func (sched *Scheduler) OldestShortWait(now time.Time) time.Duration {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return sched.waiting[backend.ClassShort].wait(now)
 }
 
 // Stop suspends matching permanently and returns all idle slots; waiting tasks stay in the queue.
-func (sched *Lane) Stop(now time.Time) Plan {
+func (sched *Scheduler) Stop(now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	sched.stopped = true
@@ -352,8 +352,8 @@
 	return plan
 }
 
-// LaneView is the state of a scheduler as shown to operators.
-type LaneView struct {
+// SchedulerView is the state of a scheduler as shown to operators.
+type SchedulerView struct {
 	Service string
 	Depth   customer.Depth
 	Idle    int
@@ -361,10 +361,10 @@
 }
 
 // View returns the state of the scheduler.
-func (sched *Lane) View() LaneView {
+func (sched *Scheduler) View() SchedulerView {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
-	v := LaneView{
+	v := SchedulerView{
 		Service: sched.service.Name(), Depth: sched.queue.Depth(),
 		Idle: sched.holdings.Idle(), Busy: sched.holdings.Busy(),
 	}
@@ -375,7 +375,7 @@
 }
 
 // Check reports whether the counts of the holdings are consistent and no short task waits that could use an idle slot.
-func (sched *Lane) Check() bool {
+func (sched *Scheduler) Check() bool {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	if !sched.holdings.Consistent() {
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -22,7 +22,7 @@
 
 var testSpeeds = map[machine.WorkerID]float64{"own-slow": 0.5, "own-fast": 2, "slow": 0.5, "fast": 2}
 
-func newTestScheduler(scarce *bool) *Lane {
+func newTestScheduler(scarce *bool) *Scheduler {
 	service := backend.NewService("test.v1.Work", []backend.KindSpec{{Name: "Short"}, {Name: "Long", Class: backend.ClassLong}})
 	return NewScheduler(service, customer.NewQueue(customer.NewTeams(false)), SchedulerOptions{
 		Speed: func(w machine.WorkerID) float64 { return testSpeeds[w] },
@@ -47,7 +47,7 @@
 // schedulerModel carries out the plans of a scheduler and keeps its own count of slots and tasks.
 type schedulerModel struct {
 	t       *rapid.T
-	sched   *Lane
+	sched   *Scheduler
 	now     time.Time
 	granted int
 	running []Assignment
--- a/dispatch/schedulerclass.go
+++ b/dispatch/schedulerclass.go
@@ -8,7 +8,7 @@
 )
 
 // observeStart records whether a worker accepted a start, and returns the attribution of a rejection.
-func (sched *Lane) observeStart(a Assignment, rejected bool, now time.Time) backend.FailureCause {
+func (sched *Scheduler) observeStart(a Assignment, rejected bool, now time.Time) backend.FailureCause {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return sched.rejections.Observe(string(a.Slot.Worker), a.Item.Task.Job.Seq, rejected, now)
@@ -16,7 +16,7 @@
 
 // reclassify counts the slot of a running task as held by long work. The allocator learns of it from the report of
 // held slots.
-func (sched *Lane) reclassify(s contract.Slot) {
+func (sched *Scheduler) reclassify(s contract.Slot) {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	if sched.o.Placement == nil {
@@ -25,7 +25,7 @@
 }
 
 // ReleaseOrReturn frees a slot. If its worker accepts no more tasks, the slot is returned to its allocator.
-func (sched *Lane) ReleaseOrReturn(s contract.Slot, accepts bool, now time.Time) Plan {
+func (sched *Scheduler) ReleaseOrReturn(s contract.Slot, accepts bool, now time.Time) Plan {
 	if accepts {
 		return sched.Release(s, now)
 	}
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -48,8 +48,8 @@
 type SlotBroker interface {
 	Demand(contract.SlotDemand)
 	Return([]contract.SlotReturn)
-	// Granter returns the slot allocator of a worker, the entry VM that leases out its slots.
-	Granter(machine.WorkerID) string
+	// Allocator returns the slot allocator of a worker, the entry VM that leases out its slots.
+	Allocator(machine.WorkerID) string
 	// Scarce reports whether the allocators are known to have hardly any free slots of a service.
 	Scarce(service string) bool
 }
--- a/dispatch/timeline_bench_test.go
+++ b/dispatch/timeline_bench_test.go
@@ -86,6 +86,6 @@
 
 func (s *instantBroker) Return([]contract.SlotReturn) {}
 
-func (s *instantBroker) Granter(machine.WorkerID) string { return "entry-1" }
+func (s *instantBroker) Allocator(machine.WorkerID) string { return "entry-1" }
 
 func (s *instantBroker) Scarce(string) bool { return false }
--- a/entry/capacity.go
+++ b/entry/capacity.go
@@ -54,13 +54,13 @@
 // holds: the allocators divide slots by the waiting times of the VMs, so an equal part would be too much for a VM with
 // less demand than the others. Otherwise it is the held and free slots, but at least an equal part.
 func (d *Daemon) share(service string, perSlot, total float64, now time.Time) float64 {
-	sched, ok := d.dispatcher.Lane(service)
+	sched, ok := d.dispatcher.Scheduler(service)
 	if !ok {
 		return 0
 	}
 	v := sched.View()
 	held := float64(v.Idle+v.Busy) * perSlot
-	if sched.Waited(now) > congestionWait && held > 0 {
+	if sched.OldestShortWait(now) > congestionWait && held > 0 {
 		return held
 	}
 	st := d.slots.service(service)
@@ -70,7 +70,7 @@
 
 // taskReclassified reports to the allocator of a worker that a task running there has been reclassified as long.
 func (s *slotBroker) taskReclassified(service string, worker machine.WorkerID) {
-	st, allocator := s.service(service), s.Granter(worker)
+	st, allocator := s.service(service), s.Allocator(worker)
 	if allocator == s.d.o.VM.ID {
 		st.allocator.ReclassifyAsLong(allocator, worker, s.d.o.Now())
 		return
@@ -78,7 +78,7 @@
 	if s.placement != nil || allocator == "" {
 		return
 	}
-	for _, sched := range s.d.dispatcher.Lanes() {
+	for _, sched := range s.d.dispatcher.Schedulers() {
 		if sched.Service().Name() == service {
 			s.reportHoldingsTo(st, sched, allocator)
 		}
@@ -86,10 +86,10 @@
 }
 
 // reportHoldingsTo reports to one allocator the slots held on its workers.
-func (s *slotBroker) reportHoldingsTo(st *serviceSlots, sched *dispatch.Lane, allocator string) {
+func (s *slotBroker) reportHoldingsTo(st *serviceSlots, sched *dispatch.Scheduler, allocator string) {
 	var held []zone.Held
 	for _, h := range zoneHeld(sched.Held()) {
-		if s.Granter(h.Worker) == allocator {
+		if s.Allocator(h.Worker) == allocator {
 			held = append(held, h)
 		}
 	}
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -155,7 +155,7 @@
 		Placement: d.slots.placement, MayStart: d.mayStart,
 		Fleet: d.fleet, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics, Timeline: d.timeline,
 		Control: workers, Capacity: d.capacity, HealthChanged: d.healthChanged,
-		SlotOutgrown: d.slots.taskReclassified, DistributedQuotas: true,
+		SlotReclassified: d.slots.taskReclassified, DistributedQuotas: true,
 	})
 	d.configs = newConfigReplica(configReplicaOptions{
 		Log: o.Log, Budget: d.budget, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics, Apply: d.applyConfiguration,
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -59,7 +59,7 @@
 	gauge(metric.MembersLive, d.LiveMembers)
 	gauge(metric.QueueWaiting, func() int {
 		n := 0
-		for _, sched := range d.dispatcher.Lanes() {
+		for _, sched := range d.dispatcher.Schedulers() {
 			depth := sched.View().Depth
 			n += depth.Short + depth.Long
 		}
@@ -67,7 +67,7 @@
 	})
 	gauge(metric.SlotsHeld, func() int {
 		n := 0
-		for _, sched := range d.dispatcher.Lanes() {
+		for _, sched := range d.dispatcher.Schedulers() {
 			v := sched.View()
 			n += v.Idle + v.Busy
 		}
@@ -97,7 +97,7 @@
 	if d.dispatcher.Draining() {
 		reasons = append(reasons, "draining")
 	}
-	schedulers := d.dispatcher.Lanes()
+	schedulers := d.dispatcher.Schedulers()
 	if d.requireConfiguration() != nil {
 		reasons = append(reasons, "no configuration")
 	}
@@ -125,7 +125,7 @@
 }
 
 // expectedWait returns the queued work of a service scheduler divided by the slots that it holds.
-func expectedWait(v dispatch.LaneView) time.Duration {
+func expectedWait(v dispatch.SchedulerView) time.Duration {
 	work := v.Depth.ShortWork + v.Depth.LongWork
 	return work / time.Duration(max(1, v.Idle+v.Busy))
 }
--- a/entry/pause.go
+++ b/entry/pause.go
@@ -48,7 +48,7 @@
 	}
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessPaused})
 	d.o.Logger.Warn("process was paused; dropping idle grants", "vm", d.o.VM.ID)
-	d.dispatcher.DropIdle()
+	d.dispatcher.ReturnIdle()
 	d.pauseDetector.grantsDropped()
 }
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -320,7 +320,7 @@
 		s.mu.Unlock()
 		return
 	}
-	n := customer.QuotaToGive(q.need(k, e), theirs)
+	n := customer.TransferAmount(q.need(k, e), theirs)
 	t, given := e.share.Give(to, n)
 	if given {
 		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
--- a/entry/slotmessages.go
+++ b/entry/slotmessages.go
@@ -54,7 +54,7 @@
 	} else {
 		st.planner.RecordUnsolicited(vm, int(m.GetFree()), now)
 	}
-	sched, ok := s.d.dispatcher.Lane(st.name)
+	sched, ok := s.d.dispatcher.Scheduler(st.name)
 	if !ok {
 		return
 	}
@@ -133,7 +133,7 @@
 // handleHoldingsRequest reports all holdings to a new allocator, because this VM may not know yet which workers it took
 // over.
 func (s *slotBroker) handleHoldingsRequest(vm, service string) {
-	sched, ok := s.d.dispatcher.Lane(service)
+	sched, ok := s.d.dispatcher.Scheduler(service)
 	if !ok {
 		return
 	}
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -16,18 +16,18 @@
 	for _, vm := range s.d.domain.Live() {
 		live[vm.ID] = true
 	}
-	for _, sched := range s.d.dispatcher.Lanes() {
+	for _, sched := range s.d.dispatcher.Schedulers() {
 		st := s.service(sched.Service().Name())
 		s.reportHoldings(st, sched, now)
 		// An allocator without contact may have let the grants expire.
-		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Granter(w)] })
+		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Allocator(w)] })
 		s.checkInvariants(st, sched)
 	}
 }
 
 // reportHoldings reports to each allocator the slots held on its workers. An allocator whose slots are no longer held
 // receives one last report.
-func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Lane, now time.Time) {
+func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Scheduler, now time.Time) {
 	self := s.d.o.VM.ID
 	byAllocator := make(map[string][]zone.Held)
 	st.mu.Lock()
@@ -40,7 +40,7 @@
 		received[name] = st.planner.Received(name)
 	}
 	for _, h := range zoneHeld(sched.Held()) {
-		name := s.Granter(h.Worker)
+		name := s.Allocator(h.Worker)
 		if name == "" {
 			continue
 		}
@@ -70,7 +70,7 @@
 }
 
 // checkInvariants counts the invariant checks of a service.
-func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Lane) {
+func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Scheduler) {
 	c := st.allocator.TakeChecks()
 	c.Made++
 	if !sched.Check() {
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -114,8 +114,8 @@
 	return out
 }
 
-// Granter implements dispatch.SlotBroker.
-func (s *slotBroker) Granter(w machine.WorkerID) string {
+// Allocator implements dispatch.SlotBroker.
+func (s *slotBroker) Allocator(w machine.WorkerID) string {
 	return (*s.assignment.Load())[w]
 }
 
@@ -154,7 +154,7 @@
 		}
 	}
 	s.assignment.Store(&assignment)
-	for _, sched := range s.d.dispatcher.Lanes() {
+	for _, sched := range s.d.dispatcher.Schedulers() {
 		name := sched.Service().Name()
 		s.assign(s.service(name), sched, offers[name], slots[name])
 	}
@@ -188,7 +188,7 @@
 }
 
 // assign sets the workers of a service's allocator. If there are new ones, it requests the members' holdings.
-func (s *slotBroker) assign(st *serviceSlots, sched *dispatch.Lane, offers []zone.Offer, slots map[string]int) {
+func (s *slotBroker) assign(st *serviceSlots, sched *dispatch.Scheduler, offers []zone.Offer, slots map[string]int) {
 	now := s.d.o.Now()
 	others := s.d.domain.Present()
 	st.planner.SetAllocators(slots)
@@ -304,7 +304,7 @@
 // Return implements dispatch.SlotBroker.
 func (s *slotBroker) Return(returns []contract.SlotReturn) {
 	now := s.d.o.Now()
-	for _, group := range groupReturns(returns, s.Granter) {
+	for _, group := range groupReturns(returns, s.Allocator) {
 		st := s.service(group.service)
 		switch group.allocator {
 		case s.d.o.VM.ID:
--- a/entry/state.go
+++ b/entry/state.go
@@ -49,7 +49,7 @@
 // Queues implements admin.Source.
 func (d *Daemon) Queues() []admin.QueueView {
 	var out []admin.QueueView
-	for _, sched := range d.dispatcher.Lanes() {
+	for _, sched := range d.dispatcher.Schedulers() {
 		v := sched.View()
 		out = append(out, admin.QueueView{
 			Service: v.Service, WaitingShort: v.Depth.Short, WaitingLong: v.Depth.Long,
@@ -107,7 +107,7 @@
 func (d *Daemon) Config() admin.ConfigView {
 	c := d.configs.inEffect()
 	v := admin.ConfigView{Revision: c.Revision, Offset: c.Next, Services: []admin.ServiceView{}}
-	for _, sched := range d.dispatcher.Lanes() {
+	for _, sched := range d.dispatcher.Schedulers() {
 		v.Services = append(v.Services, serviceView(sched.Service()))
 	}
 	sort.Slice(v.Services, func(i, j int) bool { return v.Services[i].Name < v.Services[j].Name })
--- a/entry/workerpoll.go
+++ b/entry/workerpoll.go
@@ -75,7 +75,7 @@
 	switch {
 	case w.Incarnation() == 0 || d.workers.HasStartsInFlight(id):
 		return 1
-	case d.slots.Granter(id) == d.o.VM.ID:
+	case d.slots.Allocator(id) == d.o.VM.ID:
 		return allocatorPollRounds
 	default:
 		return otherPollRounds
--- a/link/control.go
+++ b/link/control.go
@@ -21,8 +21,8 @@
 	return err
 }
 
-// Act implements dispatch.TaskControl.
-func (l *Workers) Act(
+// ApplyAction implements dispatch.TaskControl.
+func (l *Workers) ApplyAction(
 	ctx context.Context, r dispatch.StartRequest, action backend.StragglerAction,
 ) (dispatch.ControlReply, error) {
 	switch action {
--- a/standin/control_test.go
+++ b/standin/control_test.go
@@ -81,10 +81,10 @@
 	workers, req, replies := startTask(t, time.Minute)
 	other := req
 	other.Incarnation++
-	_, err := workers.Act(context.Background(), other, backend.StragglerStop)
+	_, err := workers.ApplyAction(context.Background(), other, backend.StragglerStop)
 	require.Error(t, err)
 	require.NoError(t, workers.Renew(context.Background(), req))
-	reply, err := workers.Act(context.Background(), req, backend.StragglerStop)
+	reply, err := workers.ApplyAction(context.Background(), req, backend.StragglerStop)
 	require.NoError(t, err)
 	require.False(t, reply.SlotFreed)
 	final := <-replies
@@ -99,11 +99,11 @@
 	for _, action := range []backend.StragglerAction{backend.StragglerThrottle, backend.StragglerCheckpoint} {
 		workers, req, replies := startTask(t, time.Minute)
 		for range 2 {
-			reply, err := workers.Act(context.Background(), req, action)
+			reply, err := workers.ApplyAction(context.Background(), req, action)
 			require.NoError(t, err)
 			require.True(t, reply.SlotFreed)
 		}
-		_, err := workers.Act(context.Background(), req, backend.StragglerStop)
+		_, err := workers.ApplyAction(context.Background(), req, backend.StragglerStop)
 		require.NoError(t, err)
 		require.Equal(t, contract.OutcomeFailed, (<-replies).Outcome)
 	}
