--- a/dispatch/timeline_bench_test.go
+++ b/dispatch/timeline_bench_test.go
@@ -41,7 +41,7 @@
 	const tasks = 100
 	home := machine.NewIncarnation()
 	ring := timeline.NewRing(timeline.Process{VM: "entry-1", Incarnation: home}, timeline.DefaultEvents, &timeline.Clock{}, time.Now)
-	ring.Switch(on)
+	ring.SetEnabled(on)
 	table := contract.NewJobTable(1, home)
 	fleet := machine.NewFleet()
 	w, _ := fleet.Upsert(machine.WorkerSpec{ID: "worker-1", Service: "s", Slots: tasks})
--- a/entry/tombstones.go
+++ b/entry/tombstones.go
@@ -126,7 +126,7 @@
 // appends it later, together with those that this VM had not appended yet.
 func (l *tombstoneLog) publish(ctx context.Context, s zone.Succession) {
 	record := l.d.tombstone(s)
-	l.d.timeline.Record(timeline.Event{Kind: timeline.ClosurePublished, Peer: s.SuccessorVM})
+	l.d.timeline.Record(timeline.Event{Kind: timeline.TombstonePublished, Peer: s.SuccessorVM})
 	l.d.peers.broadcast(tombstoneMessage(record))
 	ctx, cancel := context.WithTimeout(ctx, tombstoneAppendTimeout)
 	defer cancel()
@@ -218,7 +218,7 @@
 	if proto.Unmarshal(data, &record) != nil || record.GetDomain() != uint32(l.d.o.Domain) {
 		return
 	}
-	l.d.timeline.Record(timeline.Event{Kind: timeline.ClosureApplied, Peer: record.GetSuccessorVm()})
+	l.d.timeline.Record(timeline.Event{Kind: timeline.TombstoneApplied, Peer: record.GetSuccessorVm()})
 	l.d.homes.SetReportedSuccession(successionOf(&record), l.d.o.Now())
 }
 
--- a/timeline/kind.go
+++ b/timeline/kind.go
@@ -47,8 +47,8 @@
 	QuotaMoved
 	ClaimWon
 	ClaimLost
-	ClosurePublished
-	ClosureApplied
+	TombstonePublished
+	TombstoneApplied
 	ProcessStarted
 	ProcessPaused
 	ProcessDraining
@@ -69,8 +69,8 @@
 	LinkReplaced: "link.replaced", WorkerListed: "worker.listed",
 	WorkerRestarted: "worker.restarted", WorkerHealthChanged: "worker.health_changed", WorkerDropped: "worker.dropped",
 	ConfigApplied: "config.applied", ConfigRejected: "config.rejected", QuotaMoved: "quota.moved",
-	ClaimWon: "claim.won", ClaimLost: "claim.lost", ClosurePublished: "closure.published",
-	ClosureApplied: "closure.applied", ProcessStarted: "process.started",
+	ClaimWon: "claim.won", ClaimLost: "claim.lost", TombstonePublished: "closure.published",
+	TombstoneApplied: "closure.applied", ProcessStarted: "process.started",
 	ProcessPaused: "process.paused", ProcessDraining: "process.draining", ProcessStopped: "process.stopped",
 }
 
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -67,8 +67,8 @@
 	return r
 }
 
-// Switch enables or disables recording.
-func (r *Ring) Switch(on bool) { r.disabled.Store(!on) }
+// SetEnabled enables or disables recording.
+func (r *Ring) SetEnabled(on bool) { r.disabled.Store(!on) }
 
 // Record ticks the clock and adds an event with the new time.
 func (r *Ring) Record(e Event) {
--- a/timeline/ring_test.go
+++ b/timeline/ring_test.go
@@ -54,7 +54,7 @@
 	r := NewRing(Process{VM: "entry-1"}, 1024, &Clock{}, fixedNow)
 	e := Event{Kind: TaskStarted, Worker: "worker-1"}
 	require.Zero(t, testing.AllocsPerRun(100, func() { r.Record(e) }))
-	r.Switch(false)
+	r.SetEnabled(false)
 	before := len(r.Snapshot(nil).Events)
 	r.Record(e)
 	require.Len(t, r.Snapshot(nil).Events, before)
@@ -83,6 +83,6 @@
 	}
 	run("on", NewRing(Process{}, DefaultEvents, &Clock{}, time.Now))
 	off := NewRing(Process{}, DefaultEvents, &Clock{}, time.Now)
-	off.Switch(false)
+	off.SetEnabled(false)
 	run("off", off)
 }
