--- a/rpc/configuration.go
+++ b/rpc/configuration.go
@@ -15,14 +15,14 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Configured is the read-only source of the configuration that is shown to callers.
-type Configured interface {
+// ConfigurationSource is the read-only source of the configuration that is shown to callers.
+type ConfigurationSource interface {
 	Configuration() (machine.EntryVM, contract.ConfigView)
 }
 
 type configurationServer struct {
 	api.UnimplementedConfigurationServer
-	source Configured
+	source ConfigurationSource
 }
 
 // Show implements the generated interface.
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -55,7 +55,7 @@
 	}
 	s := &Server{jobs: jobs, now: now, invalid: invalid, grpc: grpc.NewServer(opts...)}
 	api.RegisterDispatcherServer(s.grpc, s)
-	if c, ok := jobs.(Configured); ok {
+	if c, ok := jobs.(ConfigurationSource); ok {
 		api.RegisterConfigurationServer(s.grpc, configurationServer{source: c})
 	}
 	go func() {
