--- a/command/control_bench_test.go
+++ b/command/control_bench_test.go
@@ -163,7 +163,7 @@
 		require.NoError(h.t, err)
 		id := fmt.Sprintf("worker-%d", n)
 		w := standin.NewWorker(l, standin.WorkerOptions{
-			ID: machine.WorkerID(id), Slots: controlSlots, Work: standin.DeploymentWork,
+			ID: machine.WorkerID(id), Slots: controlSlots, Work: standin.DemoWork,
 		})
 		env.workers = append(env.workers, w)
 		env.platform.SetVM(platform.VM{
--- a/command/standin.go
+++ b/command/standin.go
@@ -82,7 +82,7 @@
 				}
 				id := fmt.Sprintf("worker-%d-%d", domain, n)
 				w := standin.NewWorker(l, standin.WorkerOptions{
-					ID: machine.WorkerID(id), Slots: c.Int("slots"), Work: standin.DeploymentWork,
+					ID: machine.WorkerID(id), Slots: c.Int("slots"), Work: standin.DemoWork,
 				})
 				p.SetVM(platform.VM{
 					ID: id, Kind: platform.KindWorker, Domain: zone.DomainID(domain), Address: w.Address(),
--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -71,14 +71,14 @@
 	}
 	work := rand.New(rand.NewPCG(seed, 2))
 	var workMu sync.Mutex
-	d.work = func(contract.RunKey) standin.RunOutcome {
+	d.work = func(contract.RunKey) standin.RunPlan {
 		workMu.Lock()
 		defer workMu.Unlock()
 		takes := time.Duration(50+work.IntN(600)) * time.Millisecond
 		if work.IntN(30) == 0 {
 			takes *= 5
 		}
-		return standin.RunOutcome{Takes: takes, Fails: work.IntN(300) == 0, Stalls: work.IntN(200) == 0}
+		return standin.RunPlan{Duration: takes, Fails: work.IntN(300) == 0, Stalls: work.IntN(200) == 0}
 	}
 	var clients sync.WaitGroup
 	end := time.Now().Add(chaosDuration)
@@ -330,11 +330,11 @@
 
 func (c *chaos) delayedStarts(rng *rand.Rand) string {
 	for _, h := range c.d.hosts {
-		h.SetLateEach(10+rng.IntN(10), time.Duration(2000+rng.IntN(10000))*time.Millisecond)
+		h.SetDelayEveryNth(10+rng.IntN(10), time.Duration(2000+rng.IntN(10000))*time.Millisecond)
 	}
 	time.Sleep(faultTime(rng))
 	for _, h := range c.d.hosts {
-		h.SetLateEach(0, 0)
+		h.SetDelayEveryNth(0, 0)
 	}
 	return "late start calls"
 }
@@ -353,7 +353,7 @@
 	h.Crash()
 	time.Sleep(faultTime(rng))
 	h.Restart()
-	born := h.Born()
+	born := h.StartTime()
 	// The listing of the new incarnation appears some time after its start, and later if the store is unavailable.
 	time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	c.d.store.update(func() {
--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -48,7 +48,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 3, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 400 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		stop := make(chan struct{})
 		d.wg.Go(func() {
 			for i := 0; ; i++ {
@@ -103,7 +103,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 600 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 600 * time.Millisecond} }
 		answer := d.submit("edge-0-0", testJob("00000000000000aa", 10, 8*time.Second))
 		time.Sleep(100 * time.Millisecond)
 		d.killDaemon("edge-0-1")
@@ -116,7 +116,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 5 * time.Second} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
 		d.submit("edge-0-0", testJob("00000000000000aa", 8, 20*time.Second))
 		time.Sleep(500 * time.Millisecond)
 		d.killDaemon("edge-0-0")
@@ -136,7 +136,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		for _, vm := range []string{"edge-0-0", "edge-0-1", "edge-0-2"} {
 			d := newDeployment(t, 1, 3, 6)
-			d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 5 * time.Second} }
+			d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
 			d.submit(vm, testJob("00000000000000aa", 10, 20*time.Second))
 			time.Sleep(500 * time.Millisecond)
 			d.net.setCut(func(a, b string) bool { return a == vm || b == vm })
@@ -156,7 +156,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 2, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 700 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
 		var answers []<-chan batch.Answer
 		for i := range 4 {
 			answers = append(answers, d.submit("edge-0-0", testJob(fmt.Sprintf("%016x", i), 3, 6*time.Second)))
@@ -178,7 +178,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 400 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 		defer cancel()
 		d.daemons["edge-0-0"].Stop(ctx)
@@ -200,14 +200,14 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 300 * time.Millisecond} }
-		d.hosts["worker-0-0"].SetLate(2 * time.Second)
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
+		d.hosts["worker-0-0"].SetDelay(2 * time.Second)
 		var answers []<-chan batch.Answer
 		for i := range 4 {
 			answers = append(answers, d.submit("edge-0-0", testJob(fmt.Sprintf("%016x", i), 2, 6*time.Second)))
 		}
 		time.Sleep(time.Second)
-		d.hosts["worker-0-0"].SetLate(0)
+		d.hosts["worker-0-0"].SetDelay(0)
 		for _, a := range answers {
 			require.Equal(t, batch.Completed, (<-a).Outcome)
 		}
@@ -220,7 +220,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 300 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
 		for _, h := range d.hosts {
 			h.SetLosingAnswers(true)
 		}
@@ -236,7 +236,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 700 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
 		for i := range 8 {
 			d.net.setDelayed(func(from, _ string) bool { return from == "edge-0-0" })
 			answer := d.submit("edge-0-0", testJob(fmt.Sprintf("%016x", i), 10, 8*time.Second))
@@ -284,9 +284,9 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 8)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 150 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 150 * time.Millisecond} }
 		for _, h := range d.hosts {
-			h.SetLateEach(12, 4*time.Second)
+			h.SetDelayEveryNth(12, 4*time.Second)
 		}
 		const jobs = 150
 		took := make(chan time.Duration, jobs)
@@ -319,7 +319,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 500 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 500 * time.Millisecond} }
 		answer := d.submit("edge-0-0", testJob("00000000000000aa", 8, 6*time.Second))
 		time.Sleep(100 * time.Millisecond)
 		d.hosts["worker-0-1"].Crash()
@@ -338,7 +338,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 400 * time.Millisecond} }
+		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		// The first tasks are larger, so that the typical size differs from that of the tasks that change their owner.
 		large := testJob("00000000000000aa", 8, 5*time.Second)
 		large.Steps[0].Need.CPUMillis = taskCPU + 4000
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -265,7 +265,7 @@
 	daemons  map[string]*Daemon
 	observer *runObserver
 	log      *testLog
-	work     func(key contract.RunKey) standin.RunOutcome
+	work     func(key contract.RunKey) standin.RunPlan
 	wg       sync.WaitGroup
 }
 
@@ -278,7 +278,7 @@
 			running: make(map[contract.RunKey][]contract.RunKey), starts: make(map[contract.RunKey]int),
 			done: make(map[contract.RunKey]int),
 		},
-		work: func(contract.RunKey) standin.RunOutcome { return standin.RunOutcome{Takes: 100 * time.Millisecond} },
+		work: func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 100 * time.Millisecond} },
 	}
 	d.store.desired = contract.Desired{
 		Version: 1, Document: []byte("1"),
@@ -304,13 +304,13 @@
 	capacity := machine.Resources{CPUMillis: 64_000, MemoryMB: 131_072}
 	h := standin.NewRunHost(standin.RunHostOptions{
 		ID: id, Capacity: capacity, MaxLease: testLease, Observer: d.observer,
-		Work: func(k contract.RunKey) standin.RunOutcome { return d.work(k) },
+		Work: func(k contract.RunKey) standin.RunPlan { return d.work(k) },
 		Need: func(contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: taskCPU, MemoryMB: 64} },
 	})
 	d.hosts[id] = h
 	d.store.update(func() {
 		d.store.workers = append(d.store.workers, machine.Listing{
-			Worker: id, Backend: testBackend, Address: id, Zone: zone, StartTime: h.Born(), Capacity: capacity,
+			Worker: id, Backend: testBackend, Address: id, Zone: zone, StartTime: h.StartTime(), Capacity: capacity,
 		})
 	})
 }
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	k := &keyedDeployment{starts: make(map[string]int)}
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 2, EntryVMs: 2, Workers: 1, Slots: 8, Services: load.DeploymentServices, Work: standin.DeploymentWork,
+		Domains: 2, EntryVMs: 2, Workers: 1, Slots: 8, Services: load.DeploymentServices, Work: standin.DemoWork,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Started: func(task string) {
 			k.mu.Lock()
--- a/load/demo.go
+++ b/load/demo.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	d, err := StartDeployment(DeploymentOptions{
-		Domains: 2, EntryVMs: 3, Workers: 4, Slots: 8, Services: DeploymentServices, Work: standin.DeploymentWork,
+		Domains: 2, EntryVMs: 3, Workers: 4, Slots: 8, Services: DeploymentServices, Work: standin.DemoWork,
 		Logger: logger,
 	})
 	if err != nil {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -88,13 +88,13 @@
 		capacity := machine.Resources{CPUMillis: 2000, MemoryMB: 1000}
 		h := standin.NewRunHost(standin.RunHostOptions{
 			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
-			Work: func(k contract.RunKey) standin.RunOutcome {
-				return standin.RunOutcome{Takes: b.takes[k.Batch], Stalls: b.takes[k.Batch] == 0}
+			Work: func(k contract.RunKey) standin.RunPlan {
+				return standin.RunPlan{Duration: b.takes[k.Batch], Stalls: b.takes[k.Batch] == 0}
 			},
 			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.sizes[k.Batch]} },
 		})
 		b.calls.hosts[id] = h
-		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, StartTime: h.Born(), Capacity: capacity})
+		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, StartTime: h.StartTime(), Capacity: capacity})
 	}
 	b.pool = New(Options{
 		Backend: "s", Calls: b.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
@@ -283,7 +283,7 @@
 		key := b.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
-		b.list[0].StartTime = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
 		b.pool.SetHosts(b.list)
 		time.Sleep(300 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
@@ -304,7 +304,7 @@
 		b.calls.hosts["w0"].Restart()
 		time.Sleep(2 * time.Second)
 		last.Close()
-		b.list[0].StartTime = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
 		next := New(b.pool.o)
 		defer next.Close()
 		next.SetHosts(b.list)
--- a/rpc/badinput_test.go
+++ b/rpc/badinput_test.go
@@ -26,7 +26,7 @@
 
 func startDeployment(t *testing.T) *load.Deployment {
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 4, Services: load.DeploymentServices, Work: standin.DeploymentWork,
+		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 4, Services: load.DeploymentServices, Work: standin.DemoWork,
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	t.Cleanup(d.Close)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -251,7 +251,7 @@
 		if !on {
 			each = 0
 		}
-		h.SetLateEach(each, delay)
+		h.SetDelayEveryNth(each, delay)
 	})
 }
 
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -214,19 +214,19 @@
 // putEntry writes a worker's entry in the server list to the store.
 func (s *Soak) putEntry(w *worker) {
 	s.store.Put("keyed.servers", w.id, standin.EntryDocument(machine.Listing{
-		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.Born(), Capacity: capacity,
+		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.StartTime(), Capacity: capacity,
 		Labels: []string{"a", "r1"},
 	}))
 }
 
 // plannedRun derives the outcome of a run from its key: most runs take less than a second, a few take several seconds.
-func plannedRun(key contract.RunKey) standin.RunOutcome {
+func plannedRun(key contract.RunKey) standin.RunPlan {
 	h := xxhash.Sum64String(key.String())
 	duration := time.Duration(30+h%500) * time.Millisecond
 	if h%41 == 0 {
 		duration *= 6
 	}
-	return standin.RunOutcome{Takes: duration, Fails: h%503 == 1, Stalls: h%307 == 2}
+	return standin.RunPlan{Duration: duration, Fails: h%503 == 1, Stalls: h%307 == 2}
 }
 
 // daemonOf returns the daemon of a failure domain that pick selects.
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -18,11 +18,11 @@
 	maxEndedListed = 500
 )
 
-// RunOutcome is the planned course of a run: how long it takes, and whether it fails or never ends by itself.
-type RunOutcome struct {
-	Takes  time.Duration
-	Fails  bool
-	Stalls bool
+// RunPlan is the planned course of a run: how long it takes, and whether it fails or never ends by itself.
+type RunPlan struct {
+	Duration time.Duration
+	Fails    bool
+	Stalls   bool
 }
 
 // RunObserver is notified of the starts and ends of runs on all workers. Its methods are called with the worker's mutex
@@ -39,7 +39,7 @@
 	id       string
 	capacity machine.Resources
 	maxLease time.Duration
-	work     func(key contract.RunKey) RunOutcome
+	work     func(key contract.RunKey) RunPlan
 	need     func(key contract.RunKey) machine.Resources
 	observer RunObserver
 
@@ -73,7 +73,7 @@
 type hostRun struct {
 	key     contract.RunKey
 	started time.Time
-	outcome RunOutcome
+	outcome RunPlan
 	timer   *time.Timer
 	// stopping is true after a stop call. The run still uses capacity until it ends.
 	stopping bool
@@ -84,7 +84,7 @@
 	ID       string
 	Capacity machine.Resources
 	MaxLease time.Duration
-	Work     func(key contract.RunKey) RunOutcome
+	Work     func(key contract.RunKey) RunPlan
 	Need     func(key contract.RunKey) machine.Resources
 	Observer RunObserver
 }
@@ -98,23 +98,23 @@
 	}
 }
 
-// Born returns the start time of the worker's current incarnation, in Unix milliseconds.
-func (h *RunHost) Born() int64 {
+// StartTime returns the start time of the worker's current incarnation, in Unix milliseconds.
+func (h *RunHost) StartTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.startTime.UnixMilli()
 }
 
-// SetLate makes the worker execute starts and stops only after a delay, and leave all calls unanswered. Zero ends this
+// SetDelay makes the worker execute starts and stops only after a delay, and leave all calls unanswered. Zero ends this
 // fault.
-func (h *RunHost) SetLate(d time.Duration) {
+func (h *RunHost) SetDelay(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.delay = d
 }
 
-// SetLateEach applies the fault of SetLate to every nth call only. An n of 0 ends it.
-func (h *RunHost) SetLateEach(n int, delay time.Duration) {
+// SetDelayEveryNth applies the fault of SetLate to every nth call only. An n of 0 ends it.
+func (h *RunHost) SetDelayEveryNth(n int, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.delayEveryNth, h.nthDelay = n, delay
@@ -243,7 +243,7 @@
 	h.running[s.Key] = r
 	h.observer.Started(h.id, s.Key)
 	if !r.outcome.Stalls {
-		r.timer = time.AfterFunc(r.outcome.Takes, func() { h.complete(r) })
+		r.timer = time.AfterFunc(r.outcome.Duration, func() { h.complete(r) })
 	}
 	return link.StartAccepted, reply
 }
@@ -370,8 +370,8 @@
 	out := link.PollReply{HostReply: h.reply()}
 	for _, r := range h.running {
 		progress := 0
-		if !r.outcome.Stalls && r.outcome.Takes > 0 {
-			progress = int(100 * time.Since(r.started) / r.outcome.Takes)
+		if !r.outcome.Stalls && r.outcome.Duration > 0 {
+			progress = int(100 * time.Since(r.started) / r.outcome.Duration)
 		}
 		out.Running = append(out.Running, link.RunningRun{Key: r.key, Progress: progress})
 	}
--- a/standin/work.go
+++ b/standin/work.go
@@ -17,8 +17,8 @@
 	centsPerDay    = 2500
 )
 
-// DeploymentWork handles the request kinds of the schema files of both deployments.
-func DeploymentWork(_, kind string, payload []byte) ([]byte, time.Duration, error) {
+// DemoWork handles the request kinds of the schema files of both deployments.
+func DemoWork(_, kind string, payload []byte) ([]byte, time.Duration, error) {
 	h := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = h.Write(payload)
