--- a/command/control_bench_test.go
+++ b/command/control_bench_test.go
@@ -196,7 +196,7 @@
 		ID: id, Kind: platform.KindEntry, Domain: domain, PeerAddress: vm.PeerAddress, CallerAddress: vm.CallerAddress,
 	})
 	d, err := entry.New(entry.Options{
-		VM: vm, Domain: domain, Services: services, Log: logs, List: list, Callers: callers, Peers: peers,
+		VM: vm, Domain: domain, Services: services, Log: logs, List: list, CallerListener: callers, PeerListener: peers,
 		Connections: controlSlots, Logger: slog.New(slog.DiscardHandler),
 	})
 	require.NoError(h.t, err)
--- a/command/entry.go
+++ b/command/entry.go
@@ -75,9 +75,9 @@
 	}
 	o.VM.Incarnation, o.Predecessor = machine.NewIncarnation(), predecessor
 	listen := &parts.settings.Listen
-	listen.Callers, listen.Peers = o.Callers.Addr().String(), o.Peers.Addr().String()
-	if o.Admin != nil {
-		listen.Admin = o.Admin.Addr().String()
+	listen.Callers, listen.Peers = o.CallerListener.Addr().String(), o.PeerListener.Addr().String()
+	if o.AdminListener != nil {
+		listen.Admin = o.AdminListener.Addr().String()
 	}
 	d, err := entry.New(o)
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-d.Lost():
+	case <-d.Fenced():
 		d.Kill()
 		return o.VM.Incarnation, nil
 	}
@@ -96,7 +96,7 @@
 	defer cancel()
 	d.Stop(drain)
 	select {
-	case <-d.Lost():
+	case <-d.Fenced():
 		return o.VM.Incarnation, errFencedWhileStopping
 	default:
 		return o.VM.Incarnation, nil
--- a/command/entryparts.go
+++ b/command/entryparts.go
@@ -73,31 +73,31 @@
 	}
 	o := entry.Options{
 		Domain: zone.DomainID(s.VM.Domain), Region: zone.RegionID(s.VM.Region), Services: p.services, Log: logs,
-		List: list, Connections: s.Workers.Connections, Events: s.Timeline.Events, Logger: p.logger,
+		List: list, Connections: s.Workers.Connections, TimelineEvents: s.Timeline.Events, Logger: p.logger,
 	}
-	if o.Events == 0 {
-		o.Events = entry.NoEvents
+	if o.TimelineEvents == 0 {
+		o.TimelineEvents = entry.TimelineDisabled
 	}
 	if err := listen(s.Listen, &o); err != nil {
 		return o, err
 	}
-	o.VM = machine.EntryVM{ID: s.VM.ID, PeerAddress: o.Peers.Addr().String(), CallerAddress: o.Callers.Addr().String()}
+	o.VM = machine.EntryVM{ID: s.VM.ID, PeerAddress: o.PeerListener.Addr().String(), CallerAddress: o.CallerListener.Addr().String()}
 	p.secure(&o)
 	return o, nil
 }
 
 func listen(s config.Listen, o *entry.Options) error {
 	var err error
-	if o.Callers, err = net.Listen("tcp", s.Callers); err != nil {
+	if o.CallerListener, err = net.Listen("tcp", s.Callers); err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	if o.Peers, err = net.Listen("tcp", s.Peers); err != nil {
+	if o.PeerListener, err = net.Listen("tcp", s.Peers); err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
 	if s.Admin == "" {
 		return nil
 	}
-	if o.Admin, err = net.Listen("tcp", s.Admin); err != nil {
+	if o.AdminListener, err = net.Listen("tcp", s.Admin); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
 	return nil
@@ -109,7 +109,7 @@
 		o.CallerCredentials = credentials.NewTLS(p.callers.Server(alpnHTTP2))
 	}
 	if p.peers != nil {
-		o.Peers = p.peers.Listen(o.Peers)
+		o.PeerListener = p.peers.Listen(o.PeerListener)
 		o.DialPeer = p.peers.Dial
 	}
 }
--- a/entry/configmembers_test.go
+++ b/entry/configmembers_test.go
@@ -49,7 +49,7 @@
 	})
 	d, err := New(Options{
 		VM:     machine.EntryVM{ID: id, PeerAddress: peers.Addr().String(), CallerAddress: callers.Addr().String()},
-		Domain: domain, Log: log, List: list, Callers: callers, Peers: peers, Connections: 1,
+		Domain: domain, Log: log, List: list, CallerListener: callers, PeerListener: peers, Connections: 1,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	require.NoError(t, err)
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -36,20 +36,20 @@
 type Options struct {
 	VM machine.EntryVM
 	// Predecessor is the previous incarnation of this process, zero if there is none.
-	Predecessor machine.Incarnation
-	Domain      zone.DomainID
-	Region      zone.RegionID
-	Services    []*backend.Service
-	Log         platform.Log
-	List        platform.VMList
-	Callers     net.Listener
-	Peers       net.Listener
-	// Admin serves the admin endpoints; nil disables them.
-	Admin       net.Listener
-	DialPeer    func(ctx context.Context, address string) (net.Conn, error)
-	Connections int
-	// Events is the capacity of the timeline's ring; 0 selects the default, a negative number disables the timeline.
-	Events int
+	Predecessor    machine.Incarnation
+	Domain         zone.DomainID
+	Region         zone.RegionID
+	Services       []*backend.Service
+	Log            platform.Log
+	List           platform.VMList
+	CallerListener net.Listener
+	PeerListener   net.Listener
+	// AdminListener serves the admin endpoints; nil disables them.
+	AdminListener net.Listener
+	DialPeer      func(ctx context.Context, address string) (net.Conn, error)
+	Connections   int
+	// TimelineEvents is the capacity of the timeline's ring; 0 selects the default, a negative number disables the timeline.
+	TimelineEvents int
 	// CallerCredentials secure connections from callers; nil serves plain TCP.
 	CallerCredentials credentials.TransportCredentials
 	// Policy selects how workers are chosen; empty selects the default.
@@ -168,7 +168,7 @@
 func (d *Daemon) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	server, err := link.ServePeers(d.o.Peers, d.receive, nil)
+	server, err := link.ServePeers(d.o.PeerListener, d.receive, nil)
 	if err != nil {
 		cancel()
 		return err
@@ -178,7 +178,7 @@
 	d.refreshList(ctx)
 	d.configs.initialRead(ctx)
 	d.pollWorkers(ctx)
-	d.rpcServer = rpc.Serve(d.o.Callers, d, d.o.Now, d.o.CallerCredentials, d.o.Metrics)
+	d.rpcServer = rpc.Serve(d.o.CallerListener, d, d.o.Now, d.o.CallerCredentials, d.o.Metrics)
 	d.loop(ctx, heartbeatInterval, func() { d.heartbeat() })
 	d.loop(ctx, delegateInterval, d.electClaimDelegate)
 	d.loops.Go(func() { d.configs.tail(ctx) })
@@ -194,7 +194,7 @@
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessStarted})
 	d.adminState.serving.Store(true)
 	d.o.Logger.Info("entry daemon started", "vm", d.o.VM.ID, "incarnation", d.o.VM.Incarnation.String(),
-		"callers", d.o.Callers.Addr().String())
+		"callers", d.o.CallerListener.Addr().String())
 	return nil
 }
 
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -69,9 +69,9 @@
 	close(d.lost)
 }
 
-// Lost returns a channel that is closed when the other members count this incarnation as gone. The caller kills the
+// Fenced returns a channel that is closed when the other members count this incarnation as gone. The caller kills the
 // daemon and starts another.
-func (d *Daemon) Lost() <-chan struct{} { return d.lost }
+func (d *Daemon) Fenced() <-chan struct{} { return d.lost }
 
 // onCheck counts invariant checks and reports violations.
 func (d *Daemon) onCheck(invariant string, holds bool) {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -34,9 +34,9 @@
 	d.adminState.started = d.o.Now()
 	d.adminState.lastHeartbeat.Store(d.adminState.started.UnixNano())
 	d.registerGauges()
-	if d.o.Admin != nil {
+	if d.o.AdminListener != nil {
 		d.adminState.server = admin.Serve(admin.Options{
-			Listener: d.o.Admin, Source: d, Timeline: d.timeline, Metrics: d.o.Metrics,
+			Listener: d.o.AdminListener, Source: d, Timeline: d.timeline, Metrics: d.o.Metrics,
 		})
 	}
 }
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -144,7 +144,7 @@
 	e := &Entry{ID: id, Domain: domain, Callers: callers.Addr().String(), Metrics: metrics.NewRegistry()}
 	e.Daemon, err = entry.New(entry.Options{
 		VM: machine.EntryVM{ID: id, PeerAddress: peers.Addr().String(), CallerAddress: e.Callers}, Domain: domain,
-		Services: o.Services(), Log: logs, List: list, Callers: callers, Peers: peers, Connections: o.Slots,
+		Services: o.Services(), Log: logs, List: list, CallerListener: callers, PeerListener: peers, Connections: o.Slots,
 		Logger: o.Logger, Metrics: e.Metrics, Policy: dispatch.Policy(o.Policy),
 	})
 	if err != nil {
