--- a/contract/handover.go
+++ b/contract/handover.go
@@ -39,7 +39,7 @@
 	case !ok:
 		return fault.With(fault.UnknownJob, "unknown id", "the home of job %s is unknown to this entry VM", id)
 	case !h.Complete:
-		return fault.With(fault.Lost, "hand-over incomplete", "the home of job %s stopped during its hand-over", id)
+		return fault.With(fault.JobLost, "hand-over incomplete", "the home of job %s stopped during its hand-over", id)
 	case id.Seq < h.Minted:
 		return fault.With(fault.NeverAccepted, fault.ReasonHomeClosed, "job %s was never accepted by its home, which has stopped", id)
 	default:
--- a/contract/handover_test.go
+++ b/contract/handover_test.go
@@ -51,7 +51,7 @@
 	record := home.Homes()[0]
 	record.Complete = false
 	successor.Adopt(record)
-	require.Equal(t, fault.Lost.FullName(), code(ids[1]))
+	require.Equal(t, fault.JobLost.FullName(), code(ids[1]))
 	record.Complete = true
 	successor.Adopt(record)
 	require.Equal(t, fault.NeverAccepted.FullName(), code(ids[1]))
--- a/entry/router.go
+++ b/entry/router.go
@@ -200,7 +200,7 @@
 		return a, nil
 	}
 	if d.fenced.Load() {
-		return contract.Answer{}, fault.With(fault.Lost, "home lost", "other members treat this entry VM as gone")
+		return contract.Answer{}, fault.With(fault.JobLost, "home lost", "other members treat this entry VM as gone")
 	}
 	if !d.lease.Holds(d.domain.Listed(), d.o.Now()) {
 		return contract.Answer{}, fault.Unavailable.New("more than half of the failure domain is unreachable")
@@ -231,7 +231,7 @@
 			// A member that is cut off from the others may have missed the tombstone of a home after a planned stop.
 			return "", false, fault.Unavailable.New("the home of job %s is gone; its successor may be unreachable", id)
 		}
-		return "", false, fault.With(fault.Lost, fault.ReasonHomeGone, "the home of job %s is gone", id)
+		return "", false, fault.With(fault.JobLost, fault.ReasonHomeGone, "the home of job %s is gone", id)
 	case zone.HomeSilent:
 		return "", false, fault.Unavailable.New("the home of job %s is unreachable", id)
 	default:
@@ -260,7 +260,7 @@
 	if d.o.Now().Sub(d.started) < zone.SilenceLimit {
 		return fault.Unavailable.New("the home of job %s is not known yet", id)
 	}
-	return fault.With(fault.Lost, fault.ReasonHomeGone,
+	return fault.With(fault.JobLost, fault.ReasonHomeGone,
 		"the home of job %s is no longer a member of its failure domain", id)
 }
 
@@ -272,7 +272,7 @@
 	}
 	home := d.homes.Locate(s.Successor, d.o.Now())
 	if home.State == zone.HomeGone {
-		return "", fault.With(fault.Lost, "successor gone", "the successor of the home of job %s is gone", id)
+		return "", fault.With(fault.JobLost, "successor gone", "the successor of the home of job %s is gone", id)
 	}
 	return home.VM, nil
 }
@@ -331,7 +331,7 @@
 // answerFromError converts an error that proves the state of a job whose home has ended into an answer.
 func answerFromError(id contract.JobID, tasks int, a contract.Answer, err error) (contract.Answer, error) {
 	switch fault.Code(err) {
-	case fault.Lost.FullName():
+	case fault.JobLost.FullName():
 		return contract.UnknownAnswer(id, tasks, fault.Reason(err), err.Error()), nil
 	case fault.NeverAccepted.FullName():
 		return wire.RefusalOf(id, err), nil
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -240,7 +240,7 @@
 	id := contract.JobID{Domain: 1, Home: 77, Seq: 1}
 	h.homes.MarkGone("stopped", id.Home, h.now)
 	_, _, err := h.locate(t.Context(), id)
-	require.Equal(t, fault.Lost.FullName(), fault.Code(err))
+	require.Equal(t, fault.JobLost.FullName(), fault.Code(err))
 	h.now = h.now.Add(zone.SilenceLimit)
 	_, _, err = h.locate(t.Context(), id)
 	require.Equal(t, fault.Unavailable.FullName(), fault.Code(err))
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -45,8 +45,8 @@
 	HandedOver = namespace.NewType("handed_over", Retriable)
 	// NeverAccepted means that a complete hand-over proves that the home never accepted the job.
 	NeverAccepted = namespace.NewType("never_accepted", ProvenNotStarted)
-	// Lost means that the home of the job is gone and did not hand the job over.
-	Lost = namespace.NewType("lost")
+	// JobLost means that the home of the job is gone and did not hand the job over.
+	JobLost = namespace.NewType("lost")
 	// Violation means that an invariant of the program is violated.
 	Violation = namespace.NewType("violation")
 )
@@ -80,7 +80,7 @@
 func init() {
 	for _, t := range []*errorx.Type{
 		NotStarted, InDoubt, Refused, Overloaded, Draining, Invalid, UnknownJob, Expired, Unavailable, Violation,
-		HandedOver, NeverAccepted, Lost, Failed,
+		HandedOver, NeverAccepted, JobLost, Failed,
 	} {
 		byCode[t.FullName()] = t
 	}
--- a/rpc/errors.go
+++ b/rpc/errors.go
@@ -23,7 +23,7 @@
 	fault.Unavailable.FullName():   codes.Unavailable,
 	fault.Draining.FullName():      codes.Unavailable,
 	fault.HandedOver.FullName():    codes.Unavailable,
-	fault.Lost.FullName():          codes.DataLoss,
+	fault.JobLost.FullName():       codes.DataLoss,
 	fault.NeverAccepted.FullName(): codes.FailedPrecondition,
 }
 
