--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -82,7 +82,7 @@
 		failed: c(metric.JobsFailed), refused: c(metric.JobsRefused), cancelled: c(metric.JobsCancelled),
 		started: c(metric.TasksStarted), done: c(metric.TasksDone), taskFailed: c(metric.TasksFailed),
 		notRun: c(metric.TasksNotRun), unknown: c(metric.TasksUnknown), inDoubt: c(metric.TasksInDoubt),
-		resolved: c(metric.TasksResolved), reclassified: c(metric.TasksOutgrown), stragglers: c(metric.TasksStraggling),
+		resolved: c(metric.TasksResolved), reclassified: c(metric.TasksReclassified), stragglers: c(metric.TasksStraggling),
 		rejected: c(metric.StartsRejected), notSent: c(metric.StartsNotSent),
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -434,7 +434,7 @@
 			p.o.Logger.Info("run was not refreshed or claimed; stopping it", "task", k.String(), "home", r.home,
 				"claimed", r.claimed,
 				"since_refresh", now.Sub(r.refreshedAt))
-			p.counter(metric.PoolRunsUnwanted).Inc(1)
+			p.counter(metric.PoolRunsAbandoned).Inc(1)
 			p.withdraw(r, &fx)
 		}
 	}
