--- a/config/check.go
+++ b/config/check.go
@@ -74,15 +74,15 @@
 	if len(out) > 0 || len(d.Services) == 0 {
 		return out
 	}
-	_, findings := Services(d)
+	_, findings := CompileServices(d)
 	for _, f := range findings {
 		out = append(out, DocumentFinding{Path: "services." + f.File, Line: f.Line, Reason: f.Reason})
 	}
 	return out
 }
 
-// Services compiles the schema files of a document.
-func Services(d contract.ConfigDocument) ([]*backend.Service, []schema.Finding) {
+// CompileServices compiles the schema files of a document.
+func CompileServices(d contract.ConfigDocument) ([]*backend.Service, []schema.Finding) {
 	if len(d.Services) == 0 {
 		return nil, nil
 	}
--- a/entry/configapply.go
+++ b/entry/configapply.go
@@ -28,7 +28,7 @@
 	for _, s := range d.o.Services {
 		declared[s.Name()] = s.Kinds()
 	}
-	services, findings := config.Services(v.Document)
+	services, findings := config.CompileServices(v.Document)
 	if len(findings) > 0 {
 		// Accepted documents compile, unless one was accepted by another version of the program.
 		d.o.Logger.Error("failed to compile configured services", "revision", v.Revision, "finding", findings[0].Reason)
