--- a/entry/router.go
+++ b/entry/router.go
@@ -334,7 +334,7 @@
 	case fault.JobLost.FullName():
 		return contract.UnknownAnswer(id, tasks, fault.Reason(err), err.Error()), nil
 	case fault.NeverAccepted.FullName():
-		return wire.RefusalOf(id, err), nil
+		return wire.RefusedAnswer(id, err), nil
 	default:
 		return a, err
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -177,8 +177,8 @@
 	return p, nil
 }
 
-// RefusalOf converts an error that proves that nothing ran into an answer with the verdict refused.
-func RefusalOf(id contract.JobID, err error) contract.Answer {
+// RefusedAnswer converts an error that proves that nothing ran into an answer with the verdict refused.
+func RefusedAnswer(id contract.JobID, err error) contract.Answer {
 	return contract.Answer{Job: id, Verdict: contract.VerdictRefused, Reason: fault.Reason(err), Detail: err.Error()}
 }
 
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -180,7 +180,7 @@
 	}
 	if fault.IsProvenNotStarted(err) {
 		s.countInvalid(err)
-		return wire.AnswerTo(wire.RefusalOf(id, err)), nil
+		return wire.AnswerTo(wire.RefusedAnswer(id, err)), nil
 	}
 	return nil, s.callError(err)
 }
