--- a/command/load.go
+++ b/command/load.go
@@ -82,6 +82,6 @@
 	_, err := fmt.Fprintf(w, "policy %s: %d jobs, %d complete, %d failed, %d refused, %d wrong, %d missing, response "+
 		"ratio p50 %.3f p99 %.3f, served at the peak %.3f, wasted messages per task %.4f\n", r.Policy, r.JobsSubmitted,
 		r.JobsComplete, r.JobsFailed, r.JobsRefused, r.AnswersWrong, r.AnswersMissing, r.ResponseRatioP50,
-		r.ResponseRatioP99, r.CrestServedRatio, r.WastedMessagesPerTask)
+		r.ResponseRatioP99, r.PeakServedRatio, r.WastedMessagesPerTask)
 	return err
 }
--- a/entry/keys_bench_test.go
+++ b/entry/keys_bench_test.go
@@ -27,7 +27,7 @@
 
 func benchKeyed(b *testing.B, rate int) {
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 4, EntryVMs: 2, Workers: 4, Slots: 16, Services: load.DeploymentServices,
+		Domains: 4, EntryVMs: 2, Workers: 4, Slots: 16, Services: load.DemoServices,
 		Work: func(string, string, []byte) ([]byte, time.Duration, error) {
 			return nil, 20 * time.Millisecond, nil
 		},
@@ -36,7 +36,7 @@
 	require.NoError(b, err)
 	defer d.Close()
 	var clients []*rpc.Client
-	for _, a := range d.Callers() {
+	for _, a := range d.CallerAddresses() {
 		c, err := rpc.NewClient([]string{a}, nil)
 		require.NoError(b, err)
 		defer c.Close()
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -31,9 +31,9 @@
 	t.Helper()
 	k := &keyedDeployment{starts: make(map[string]int)}
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 2, EntryVMs: 2, Workers: 1, Slots: 8, Services: load.DeploymentServices, Work: standin.DemoWork,
+		Domains: 2, EntryVMs: 2, Workers: 1, Slots: 8, Services: load.DemoServices, Work: standin.DemoWork,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Started: func(task string) {
+		OnStart: func(task string) {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			k.starts[task]++
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	k.Deployment = d
-	for _, a := range d.Callers() {
+	for _, a := range d.CallerAddresses() {
 		c, err := rpc.NewClient([]string{a}, nil)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
--- a/entry/readiness_test.go
+++ b/entry/readiness_test.go
@@ -15,7 +15,7 @@
 // Guards against a load balancer that sends callers to a VM that has not started, knows no worker, or is stopping.
 func TestReadinessFollowsTheDaemon(t *testing.T) {
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 2, Services: load.DeploymentServices, Work: standin.DemoWork,
+		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 2, Services: load.DemoServices, Work: standin.DemoWork,
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	require.NoError(t, err)
--- a/entry/recovery_test.go
+++ b/entry/recovery_test.go
@@ -31,12 +31,12 @@
 	s := &blockingDeployment{release: make(chan struct{}), started: make(map[string]int)}
 	var err error
 	s.Deployment, err = load.StartDeployment(load.DeploymentOptions{
-		Domains: 1, EntryVMs: entryVMs, Workers: 1, Slots: 2, Services: load.DeploymentServices,
+		Domains: 1, EntryVMs: entryVMs, Workers: 1, Slots: 2, Services: load.DemoServices,
 		Work: func(_, _ string, payload []byte) ([]byte, time.Duration, error) {
 			<-s.release
 			return payload, 0, nil
 		},
-		Started: func(task string) {
+		OnStart: func(task string) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.started[task]++
@@ -55,7 +55,7 @@
 	t.Helper()
 	var addresses []string
 	for _, i := range entries {
-		addresses = append(addresses, s.Entries[i].Callers)
+		addresses = append(addresses, s.Entries[i].CallerAddress)
 	}
 	c, err := rpc.NewClient(addresses, nil)
 	require.NoError(t, err)
--- a/load/demo.go
+++ b/load/demo.go
@@ -27,8 +27,8 @@
 	demoTasks    = 12
 )
 
-// DeploymentServices reads the schema files of both example deployments, glashaus and wakala.
-func DeploymentServices() []*backend.Service {
+// DemoServices reads the schema files of both example deployments, glashaus and wakala.
+func DemoServices() []*backend.Service {
 	src := schema.Source{"glashaus.proto": schemas.Glashaus, "wakala.proto": schemas.Wakala}
 	services, findings := schema.Load(src, "glashaus.proto", "wakala.proto")
 	if len(findings) > 0 {
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	d, err := StartDeployment(DeploymentOptions{
-		Domains: 2, EntryVMs: 3, Workers: 4, Slots: 8, Services: DeploymentServices, Work: standin.DemoWork,
+		Domains: 2, EntryVMs: 3, Workers: 4, Slots: 8, Services: DemoServices, Work: standin.DemoWork,
 		Logger: logger,
 	})
 	if err != nil {
@@ -91,7 +91,7 @@
 // demoJob submits one job to an entry VM and fetches its answer again from another.
 func demoJob(ctx context.Context, d *Deployment, n int) demoResult {
 	fail := func(err error) demoResult { return demoResult{line: fmt.Sprintf("job %d: %v", n, err)} }
-	addresses := d.Callers()
+	addresses := d.CallerAddresses()
 	client, err := rpc.NewClient(addresses[n%len(addresses):n%len(addresses)+1], nil)
 	if err != nil {
 		return fail(err)
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -35,7 +35,7 @@
 	Speed    func(n int) float64
 	Services func() []*backend.Service
 	Work     standin.Work
-	Started  func(task string)
+	OnStart  func(task string)
 	// Observer and OnWorkerAdded may be nil. OnWorkerAdded is called before a worker serves.
 	Observer      standin.Observer
 	OnWorkerAdded func(machine.WorkerID)
@@ -53,11 +53,11 @@
 
 // Entry is an entry daemon with its addresses and metrics.
 type Entry struct {
-	ID      string
-	Domain  zone.DomainID
-	Callers string
-	Daemon  *entry.Daemon
-	Metrics metrics.Registry
+	ID            string
+	Domain        zone.DomainID
+	CallerAddress string
+	Daemon        *entry.Daemon
+	Metrics       metrics.Registry
 }
 
 // StartDeployment starts all parts and waits until the entry VMs have discovered each other.
@@ -110,7 +110,7 @@
 		o.OnWorkerAdded(id)
 	}
 	w := standin.NewWorker(l, standin.WorkerOptions{
-		ID: id, Slots: o.Slots, Speed: speed, Work: o.Work, Started: o.Started, Observer: o.Observer,
+		ID: id, Slots: o.Slots, Speed: speed, Work: o.Work, Started: o.OnStart, Observer: o.Observer,
 	})
 	d.Workers = append(d.Workers, w)
 	d.Platform.SetVM(platform.VM{
@@ -141,9 +141,9 @@
 		ID: id, Kind: platform.KindEntry, Domain: domain, PeerAddress: peers.Addr().String(),
 		CallerAddress: callers.Addr().String(),
 	})
-	e := &Entry{ID: id, Domain: domain, Callers: callers.Addr().String(), Metrics: metrics.NewRegistry()}
+	e := &Entry{ID: id, Domain: domain, CallerAddress: callers.Addr().String(), Metrics: metrics.NewRegistry()}
 	e.Daemon, err = entry.New(entry.Options{
-		VM: machine.EntryVM{ID: id, PeerAddress: peers.Addr().String(), CallerAddress: e.Callers}, Domain: domain,
+		VM: machine.EntryVM{ID: id, PeerAddress: peers.Addr().String(), CallerAddress: e.CallerAddress}, Domain: domain,
 		Services: o.Services(), Log: logs, List: list, CallerListener: callers, PeerListener: peers, Connections: o.Slots,
 		Logger: o.Logger, Metrics: e.Metrics, Policy: dispatch.Policy(o.Policy),
 	})
@@ -168,11 +168,11 @@
 	return nil
 }
 
-// Callers returns the caller addresses of all entry VMs.
-func (d *Deployment) Callers() []string {
+// CallerAddresses returns the caller addresses of all entry VMs.
+func (d *Deployment) CallerAddresses() []string {
 	var out []string
 	for _, e := range d.Entries {
-		out = append(out, e.Callers)
+		out = append(out, e.CallerAddress)
 	}
 	return out
 }
--- a/load/measure.go
+++ b/load/measure.go
@@ -177,7 +177,7 @@
 	}
 	capacity := m.run.schedule.Capacity(m.run.workload) * length
 	r.PeakTasksCapacity = share(capacity*float64(r.PeakTasksDemanded), work)
-	r.CrestServedRatio = share(float64(r.PeakTasksServed), min(float64(r.PeakTasksDemanded), r.PeakTasksCapacity))
+	r.PeakServedRatio = share(float64(r.PeakTasksServed), min(float64(r.PeakTasksDemanded), r.PeakTasksCapacity))
 	r.PeakSlotsBusyShare = share(busy, length)
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -17,7 +17,7 @@
 	ResponseRatioP99           float64            `json:"response_ratio_p99"`
 	MessagesPerTask            float64            `json:"messages_per_task"`
 	WastedMessagesPerTask      float64            `json:"wasted_messages_per_task"`
-	CrestServedRatio           float64            `json:"crest_served_ratio"`
+	PeakServedRatio            float64            `json:"crest_served_ratio"`
 	ShortWaitP99MS             float64            `json:"short_wait_p99_ms"`
 	ShortWaitBehindLongP99MS   float64            `json:"short_wait_behind_long_p99_ms"`
 	Workload                   string             `json:"workload"`
--- a/load/run.go
+++ b/load/run.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	r.callers, err = NewCallers(r.deployment.Callers(), d.SlowestSpeed, answerSlack)
+	r.callers, err = NewCallers(r.deployment.CallerAddresses(), d.SlowestSpeed, answerSlack)
 	if err != nil {
 		return err
 	}
--- a/rpc/badinput_test.go
+++ b/rpc/badinput_test.go
@@ -26,7 +26,7 @@
 
 func startDeployment(t *testing.T) *load.Deployment {
 	d, err := load.StartDeployment(load.DeploymentOptions{
-		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 4, Services: load.DeploymentServices, Work: standin.DemoWork,
+		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 4, Services: load.DemoServices, Work: standin.DemoWork,
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	t.Cleanup(d.Close)
@@ -35,7 +35,7 @@
 }
 
 func dial(t *testing.T, d *load.Deployment) api.DispatcherClient {
-	conn, err := grpc.NewClient(d.Callers()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
+	conn, err := grpc.NewClient(d.CallerAddresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(64<<20)))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
@@ -125,7 +125,7 @@
 	require.Equal(t, codes.ResourceExhausted, status.Code(err))
 	require.Eventually(t, func() bool { return invalidRequests(d) == before+1 }, time.Minute, time.Millisecond)
 
-	client, err := rpc.NewClient(d.Callers(), nil)
+	client, err := rpc.NewClient(d.CallerAddresses(), nil)
 	require.NoError(t, err)
 	defer client.Close()
 	unknown, err := client.NewJob(ctx)
