--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -123,7 +123,7 @@
 		// Clients submit a job again 1.3 s after their connection has ended.
 		time.Sleep(1300 * time.Millisecond)
 		for id := range d.hosts {
-			reply, err := d.hosts[id].Hold(context.Background(), topTokenPoll)
+			reply, err := d.hosts[id].Poll(context.Background(), topTokenPoll)
 			require.NoError(t, err)
 			require.Empty(t, reply.Running, "runs of the dead home on %s", id)
 		}
@@ -142,7 +142,7 @@
 			d.net.setCut(func(a, b string) bool { return a == vm || b == vm })
 			time.Sleep(1250 * time.Millisecond)
 			for id := range d.hosts {
-				reply, err := d.hosts[id].Hold(context.Background(), link.HostPoll{Token: 1 << 62})
+				reply, err := d.hosts[id].Poll(context.Background(), link.HostPoll{Token: 1 << 62})
 				require.NoError(t, err)
 				require.Empty(t, reply.Running, "runs of %s on %s", vm, id)
 			}
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -180,7 +180,7 @@
 	if err != nil {
 		return link.PollReply{}, err
 	}
-	return h.Hold(ctx, hold)
+	return h.Poll(ctx, hold)
 }
 
 func (c workerCalls) CloseIdleConnections(link.HostAddress) {}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -60,7 +60,7 @@
 }
 
 func (c *hostCalls) Poll(ctx context.Context, a link.HostAddress, h link.HostPoll) (link.PollReply, error) {
-	return c.hosts[a.Worker].Hold(ctx, h)
+	return c.hosts[a.Worker].Poll(ctx, h)
 }
 
 func (c *hostCalls) CloseIdleConnections(link.HostAddress) {}
@@ -261,7 +261,7 @@
 		for died := time.Now(); time.Since(died) < 1300*time.Millisecond; time.Sleep(100 * time.Millisecond) {
 			b.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
 		}
-		reply, err := b.calls.hosts["w0"].Hold(context.Background(), link.HostPoll{Token: 1 << 62})
+		reply, err := b.calls.hosts["w0"].Poll(context.Background(), link.HostPoll{Token: 1 << 62})
 		require.NoError(t, err)
 		for _, r := range reply.Running {
 			require.NotEqual(t, lost, r.Key)
--- a/standin/hostserver.go
+++ b/standin/hostserver.go
@@ -128,7 +128,7 @@
 }
 
 func (s *HostServer) hold(ctx context.Context, c *app.RequestContext, call hostCall) {
-	reply, err := s.host.Hold(ctx, link.HostPoll{
+	reply, err := s.host.Poll(ctx, link.HostPoll{
 		Token: call.Token, LastOutcome: call.LastSeen, LeaseEnd: time.Duration(call.Until) * time.Millisecond,
 		Wait: time.Duration(call.Wait) * time.Millisecond,
 	})
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -330,8 +330,8 @@
 	return reply
 }
 
-// Hold extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
-func (h *RunHost) Hold(ctx context.Context, c link.HostPoll) (link.PollReply, error) {
+// Poll extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
+func (h *RunHost) Poll(ctx context.Context, c link.HostPoll) (link.PollReply, error) {
 	if !h.deliver(nil) {
 		return link.PollReply{}, h.awaitTimeout(ctx)
 	}
