--- a/backend/attribution.go
+++ b/backend/attribution.go
@@ -37,8 +37,8 @@
 
 // FailureCause is the evidence about whether a failure is the fault of the worker on which it happened.
 type FailureCause struct {
-	// SucceedsElsewhere is set if the same work succeeds on other workers; otherwise the failure does not prove a fault of the
-	// worker.
+	// SucceedsElsewhere is set if the same work succeeds on other workers; otherwise the failure does not prove a fault
+	// of the worker.
 	SucceedsElsewhere bool
 	// Expected is the failure rate of the same work on other workers.
 	Expected float64
--- a/batch/home_test.go
+++ b/batch/home_test.go
@@ -67,8 +67,10 @@
 	return answer
 }
 
-func reportRun(h *Home, key contract.RunKey, state contract.RunState, ran bool) {
-	h.Report(PoolRef{Owner: testOwner, Backend: "s"}, contract.RunReport{Key: key, State: state, MayHaveStarted: ran, Token: 1})
+func reportRun(h *Home, key contract.RunKey, state contract.RunState, mayHaveStarted bool) {
+	h.Report(PoolRef{Owner: testOwner, Backend: "s"}, contract.RunReport{
+		Key: key, State: state, MayHaveStarted: mayHaveStarted, Token: 1,
+	})
 }
 
 // Guards against refusing a job of which a run may have started: its owner became unreachable, and the lease of the
--- a/command/entryparts.go
+++ b/command/entryparts.go
@@ -81,7 +81,9 @@
 	if err := listen(s.Listen, &o); err != nil {
 		return o, err
 	}
-	o.VM = machine.EntryVM{ID: s.VM.ID, PeerAddress: o.PeerListener.Addr().String(), CallerAddress: o.CallerListener.Addr().String()}
+	o.VM = machine.EntryVM{
+		ID: s.VM.ID, PeerAddress: o.PeerListener.Addr().String(), CallerAddress: o.CallerListener.Addr().String(),
+	}
 	p.secure(&o)
 	return o, nil
 }
--- a/contract/configstate.go
+++ b/contract/configstate.go
@@ -90,8 +90,8 @@
 	return s.next
 }
 
-// SetOldestOffset sets the oldest offset that the log keeps. Only a log that still holds its first record proves that nothing
-// is missing; of a truncated log only a snapshot that covers the missing records shows the earlier state.
+// SetOldestOffset sets the oldest offset that the log keeps. Only a log that still holds its first record proves that
+// nothing is missing; of a truncated log only a snapshot that covers the missing records shows the earlier state.
 func (s *ConfigState) SetOldestOffset(first uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/customer/quota.go
+++ b/customer/quota.go
@@ -6,9 +6,9 @@
 	Demand int
 }
 
-// TransferAmount returns how much of its share a holder transfers to another one that requests quota. A holder with spare
-// quota gives half of it. If both lack quota, the shares move half way towards the ratio of the demands, so that they
-// converge without oscillating.
+// TransferAmount returns how much of its share a holder transfers to another one that requests quota. A holder with
+// spare quota gives half of it. If both lack quota, the shares move half way towards the ratio of the demands, so that
+// they converge without oscillating.
 func TransferAmount(mine, theirs QuotaNeed) int {
 	need := theirs.Demand - theirs.Held
 	if need <= 0 || mine.Held <= 0 {
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -37,7 +37,8 @@
 	cause := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
 	d.retract(cause, now)
 	d.updateHealth(w, machine.StartOutcome{
-		Failed: failed, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere, Expected: cause.Expected,
+		Failed: failed, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere,
+		Expected: cause.Expected,
 	}, now)
 	if failed && kind.FailsEverywhere(d.workersOf(w.Spec().Service), now) {
 		d.failWaiting(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
@@ -52,7 +53,8 @@
 	}
 	cause := sched.observeStart(a, true, now)
 	d.updateHealth(w, machine.StartOutcome{
-		Rejected: true, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere, Expected: cause.Expected,
+		Rejected: true, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere,
+		Expected: cause.Expected,
 	}, now)
 }
 
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -57,11 +57,11 @@
 // ReturnIdle returns all idle slots, because their grants may have expired while the process was paused.
 func (d *Dispatcher) ReturnIdle() {
 	for _, sched := range d.Schedulers() {
-		d.execute(sched, sched.dropIdle())
+		d.execute(sched, sched.returnIdle())
 	}
 }
 
-func (sched *Scheduler) dropIdle() Plan {
+func (sched *Scheduler) returnIdle() Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
 	return Plan{Returns: sched.returns(sched.holdings.DropIdle(func(contract.Slot) bool { return true }))}
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -57,8 +57,8 @@
 	Placement *Placement
 }
 
-// Scheduler is the scheduler of one service: it holds the service's waiting tasks and slots on this entry VM. mu guards the
-// fields below it and is acquired before the lock of the queue.
+// Scheduler is the scheduler of one service: it holds the service's waiting tasks and slots on this entry VM. mu
+// guards the fields below it and is acquired before the lock of the queue.
 type Scheduler struct {
 	service *backend.Service
 	queue   *customer.Queue
--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -74,11 +74,11 @@
 	d.work = func(contract.RunKey) standin.RunPlan {
 		workMu.Lock()
 		defer workMu.Unlock()
-		takes := time.Duration(50+work.IntN(600)) * time.Millisecond
+		duration := time.Duration(50+work.IntN(600)) * time.Millisecond
 		if work.IntN(30) == 0 {
-			takes *= 5
+			duration *= 5
 		}
-		return standin.RunPlan{Duration: takes, Fails: work.IntN(300) == 0, Stalls: work.IntN(200) == 0}
+		return standin.RunPlan{Duration: duration, Fails: work.IntN(300) == 0, Stalls: work.IntN(200) == 0}
 	}
 	var clients sync.WaitGroup
 	end := time.Now().Add(chaosDuration)
@@ -353,14 +353,14 @@
 	h.Crash()
 	time.Sleep(faultTime(rng))
 	h.Restart()
-	born := h.StartTime()
+	startTime := h.StartTime()
 	// The listing of the new incarnation appears some time after its start, and later if the store is unavailable.
 	time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	c.d.store.update(func() {
 		workers := slices.Clone(c.d.store.workers)
 		for i := range workers {
 			if workers[i].Worker == id {
-				workers[i].StartTime = born
+				workers[i].StartTime = startTime
 			}
 		}
 		c.d.store.workers = workers
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -175,12 +175,12 @@
 	return h.Stop(ctx, key, token)
 }
 
-func (c workerCalls) Poll(ctx context.Context, a link.HostAddress, hold link.HostPoll) (link.PollReply, error) {
+func (c workerCalls) Poll(ctx context.Context, a link.HostAddress, poll link.HostPoll) (link.PollReply, error) {
 	h, err := c.reach(ctx, a)
 	if err != nil {
 		return link.PollReply{}, err
 	}
-	return h.Poll(ctx, hold)
+	return h.Poll(ctx, poll)
 }
 
 func (c workerCalls) CloseIdleConnections(link.HostAddress) {}
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -210,8 +210,9 @@
 	case *api.PeerMessage_TaskReport:
 		r := b.TaskReport
 		d.home.Report(batch.PoolRef{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
-			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(), MayHaveStarted: r.GetRan(),
-			Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
+			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(),
+			MayHaveStarted: r.GetRan(),
+			Token:          r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
 		})
 	case *api.PeerMessage_WorkerTakeover:
 		t := b.WorkerTakeover
@@ -278,9 +279,9 @@
 	}
 }
 
-func encodeCapacity(backend string, r zone.BackendCapacity) *api.BackendRoom {
-	m := &api.BackendRoom{Backend: backend, FreeSlots: uint32(r.Free), Slots: uint32(r.Slots)}
-	for _, w := range r.Waiting {
+func encodeCapacity(backend string, c zone.BackendCapacity) *api.BackendRoom {
+	m := &api.BackendRoom{Backend: backend, FreeSlots: uint32(c.Free), Slots: uint32(c.Slots)}
+	for _, w := range c.Waiting {
 		m.WaitingMs = append(m.WaitingMs, clampMillis(w))
 	}
 	return m
--- a/entry/configapply.go
+++ b/entry/configapply.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Configuration implements rpc.Configured.
+// Configuration implements rpc.ConfigurationSource.
 func (d *Daemon) Configuration() (machine.EntryVM, contract.ConfigView) {
 	return d.o.VM, d.configs.inEffect()
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -48,7 +48,8 @@
 	AdminListener net.Listener
 	DialPeer      func(ctx context.Context, address string) (net.Conn, error)
 	Connections   int
-	// TimelineEvents is the capacity of the timeline's ring; 0 selects the default, a negative number disables the timeline.
+	// TimelineEvents is the capacity of the timeline's ring; 0 selects the default, a negative number disables the
+	// timeline.
 	TimelineEvents int
 	// CallerCredentials secure connections from callers; nil serves plain TCP.
 	CallerCredentials credentials.TransportCredentials
@@ -92,7 +93,7 @@
 	// forwards counts the calls forwarded to other failure domains.
 	forwards atomic.Uint64
 	fenced   atomic.Bool
-	lost     chan struct{}
+	fencedCh chan struct{}
 	started  time.Time
 
 	peerServer *link.PeerServer
@@ -129,7 +130,7 @@
 		o: o, fleet: machine.NewFleet(), domain: zone.NewFailureDomain(o.Domain, o.VM.ID),
 		table: contract.NewJobTable(o.Domain, o.VM.Incarnation), clock: &timeline.Clock{},
 		homes: zone.NewHomes(), lease: zone.NewAnswerLease(), handovers: newHandOvers(),
-		requests: newRequestLimiter(maxServed), lost: make(chan struct{}), started: o.Now(),
+		requests: newRequestLimiter(maxServed), fencedCh: make(chan struct{}), started: o.Now(),
 	}
 	if o.Predecessor != 0 {
 		d.homes.MarkGone(o.VM.ID, o.Predecessor, o.Now())
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -66,12 +66,12 @@
 	}
 	d.o.Logger.Error("this incarnation is fenced", "vm", d.o.VM.ID, "reason", reason)
 	d.dispatcher.Drain()
-	close(d.lost)
+	close(d.fencedCh)
 }
 
 // Fenced returns a channel that is closed when the other members count this incarnation as gone. The caller kills the
 // daemon and starts another.
-func (d *Daemon) Fenced() <-chan struct{} { return d.lost }
+func (d *Daemon) Fenced() <-chan struct{} { return d.fencedCh }
 
 // onCheck counts invariant checks and reports violations.
 func (d *Daemon) onCheck(invariant string, holds bool) {
--- a/entry/pause.go
+++ b/entry/pause.go
@@ -52,8 +52,8 @@
 	d.pauseDetector.grantsDropped()
 }
 
-// fenceAfterPause fences the incarnation after a pause of SilenceLimit or longer: the members that counted it as gone may have
-// been replaced in the meantime, so that no remaining member refuses it.
+// fenceAfterPause fences the incarnation after a pause of SilenceLimit or longer: the members that counted it as gone
+// may have been replaced in the meantime, so that no remaining member refuses it.
 func (d *Daemon) fenceAfterPause(paused time.Duration) {
 	if paused >= zone.SilenceLimit && len(d.domain.Listed()) > 0 {
 		d.fence("the process was paused for " + paused.String())
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -93,7 +93,7 @@
 	l := link.NewPeer(id, v.PeerAddress, link.PeerOptions{
 		Self: link.Identity{VM: o.VM, Domain: uint32(o.Domain)}, Dial: o.DialPeer, Lamport: p.d.clock.Tick, Now: o.Now,
 		Logger: o.Logger, Metrics: o.Metrics, Timeline: p.d.timeline,
-		OnSent: p.d.lease.Sent, OnAck: p.d.lease.Acknowledged, OnDisconnect: p.connectionReplaced,
+		OnSent: p.d.lease.Sent, OnAck: p.d.lease.Acknowledged, OnDisconnect: p.disconnected,
 		OnRefused: p.d.refusedBy,
 	})
 	p.links[id] = l
@@ -132,8 +132,8 @@
 	return true
 }
 
-// connectionReplaced fails the requests sent over a lost connection, because their replies may be lost as well.
-func (p *peers) connectionReplaced(vm string) {
+// disconnected fails the requests sent over a lost connection, because their replies may be lost as well.
+func (p *peers) disconnected(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range p.pending {
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -109,12 +109,12 @@
 			st.allocator.CancelDemand(c.VM.ID)
 		}
 	case zone.MemberLive:
-		s.rejoin(c.VM.ID)
+		s.awaitReport(c.VM.ID)
 	}
 }
 
-// rejoin requests the holdings of a member that responds again, unless its process is new.
-func (s *slotBroker) rejoin(vm string) {
+// awaitReport requests the holdings of a member that responds again, unless its process is new.
+func (s *slotBroker) awaitReport(vm string) {
 	s.mu.Lock()
 	process := s.incarnations[vm]
 	fresh := process.fresh
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -96,7 +96,8 @@
 	if !ok {
 		self := s.d.o.VM.ID
 		st = &serviceSlots{
-			name: name, allocator: zone.NewSlotAllocator(self, uint64(s.d.o.VM.Incarnation)), planner: zone.NewDemandPlanner(self),
+			name: name, allocator: zone.NewSlotAllocator(self, uint64(s.d.o.VM.Incarnation)),
+			planner:      zone.NewDemandPlanner(self),
 			statusSentAt: make(map[string]time.Time), reported: make(map[string]bool),
 		}
 		s.services[name] = st
--- a/entry/timeline.go
+++ b/entry/timeline.go
@@ -2,7 +2,7 @@
 
 import "github.com/cicadadale/cicadadale/timeline"
 
-// TimelineDisabled is the value of Options.Events that disables the timeline.
+// TimelineDisabled is the value of Options.TimelineEvents that disables the timeline.
 const TimelineDisabled = -1
 
 // newTimeline returns the ring selected by the options, nil for none.
--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -63,11 +63,11 @@
 	Wait time.Duration
 }
 
-// HostReply is the part that all replies of a worker have in common. Born is the start time of its incarnation.
+// HostReply is the part that all replies of a worker have in common. StartTime is that of its incarnation.
 type HostReply struct {
 	Clock     time.Duration
 	StartTime int64
-	// Fenced and OtherLife are the reasons for which a call has no effect: a higher fencing token, or a restart.
+	// Fenced and OtherIncarnation are the reasons for which a call has no effect: a higher fencing token, or a restart.
 	Fenced           bool
 	OtherIncarnation bool
 }
@@ -86,7 +86,7 @@
 	Reason string
 }
 
-// PollReply is the reply to a hold, with the worker's runs.
+// PollReply is the reply to a HostPoll, with the worker's runs.
 type PollReply struct {
 	HostReply
 	Running []RunningRun
--- a/link/peerserver.go
+++ b/link/peerserver.go
@@ -29,7 +29,7 @@
 // HandlerResult is the handler's decision on a peer's envelope.
 type HandlerResult uint8
 
-// Receptions. Only an accepted envelope is acknowledged.
+// Results. Only an accepted envelope is acknowledged.
 const (
 	Accepted HandlerResult = iota
 	// Ignored envelopes come from a VM that is not on the VM list; it may be listed again.
--- a/machine/health.go
+++ b/machine/health.go
@@ -102,8 +102,8 @@
 type StartOutcome struct {
 	Failed   bool
 	Rejected bool
-	// KindSucceedsElsewhere means that the same kind of work succeeds on other workers. Without it a failure does not count towards a
-	// quarantine.
+	// KindSucceedsElsewhere means that the same kind of work succeeds on other workers. Without it a failure does not
+	// count towards a quarantine.
 	KindSucceedsElsewhere bool
 	// KindFailsElsewhere means that the same kind of work fails on several workers and succeeds on none.
 	KindFailsElsewhere bool
@@ -130,32 +130,32 @@
 func (h *Health) State() HealthState { return h.state }
 
 // Observe applies the outcome of a start and reports whether the state has changed.
-func (h *Health) Observe(e StartOutcome, now time.Time) bool {
+func (h *Health) Observe(o StartOutcome, now time.Time) bool {
 	before := h.state
 	h.tick(now)
 	switch {
 	case h.state == Quarantined:
 		// The tasks that ran when the worker was quarantined give no new evidence.
 	case h.state == Probing:
-		h.probe(e, now)
-	case e.Failed || e.Rejected:
-		h.fail(e, now)
+		h.probe(o, now)
+	case o.Failed || o.Rejected:
+		h.fail(o, now)
 	default:
 		h.succeed()
 	}
 	return h.state != before
 }
 
-func (h *Health) fail(e StartOutcome, now time.Time) {
+func (h *Health) fail(o StartOutcome, now time.Time) {
 	weight := 1.0
-	if e.Rejected {
+	if o.Rejected {
 		weight = rejectionScore
 	}
-	if e.KindFailsElsewhere {
+	if o.KindFailsElsewhere {
 		return
 	}
 	h.lastFailure = now
-	if !e.KindSucceedsElsewhere {
+	if !o.KindSucceedsElsewhere {
 		h.unproven++
 		if h.unproven >= unprovenLimit {
 			h.fire(healthSuspected)
@@ -164,7 +164,7 @@
 		}
 		return
 	}
-	h.score += weight * (1 - e.Expected)
+	h.score += weight * (1 - o.Expected)
 	if h.score >= quarantineScore {
 		h.quarantine(healthQuarantined, now)
 	} else if h.score >= suspectScore {
@@ -180,9 +180,9 @@
 	}
 }
 
-func (h *Health) probe(e StartOutcome, now time.Time) {
-	if e.Failed || e.Rejected {
-		if e.KindSucceedsElsewhere {
+func (h *Health) probe(o StartOutcome, now time.Time) {
+	if o.Failed || o.Rejected {
+		if o.KindSucceedsElsewhere {
 			h.quarantine(healthProbeFailed, now)
 		}
 		return
--- a/machine/host.go
+++ b/machine/host.go
@@ -113,8 +113,8 @@
 	return end
 }
 
-// LeasesExpireBy returns the time by which the leases of all tasks ordered so far have certainly expired if the worker is
-// not contacted again.
+// LeasesExpireBy returns the time by which the leases of all tasks ordered so far have certainly expired if the worker
+// is not contacted again.
 func (h *Host) LeasesExpireBy() time.Time {
 	left := h.leaseEnd - h.clock
 	return h.clockAt.Add(left + time.Duration(float64(left)*2*clockDrift) + clockMargin)
--- a/machine/worker.go
+++ b/machine/worker.go
@@ -134,10 +134,10 @@
 }
 
 // Observe applies the outcome of a start and reports whether the worker's health has changed.
-func (w *Worker) Observe(e StartOutcome, now time.Time) bool {
+func (w *Worker) Observe(o StartOutcome, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.health.Observe(e, now)
+	return w.health.Observe(o, now)
 }
 
 // Retract withdraws failures that turned out to be caused by a job, and reports whether the worker's health has
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -336,7 +336,8 @@
 // handleRestart records that a worker has been restarted. The lists in its reply show which runs belong to the new
 // incarnation; the others have ended. p.mu is held.
 func (p *Pool) handleRestart(t *ownedHost, reply link.PollReply, now time.Time) {
-	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.StartTime, "last_born", t.startTime,
+	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.StartTime,
+		"last_born", t.startTime,
 		"runs", len(t.runs), "running", len(reply.Running))
 	t.startTime = reply.StartTime
 	t.host.Restarted(reply.Clock, now, p.o.Lease)
--- a/pool/match.go
+++ b/pool/match.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// hostsWithCapacity returns the workers on which a task may start, the fastest first and of equally fast ones the fullest.
+// hostsWithCapacity returns the workers on which a task may start, the fastest first and of equally fast ones the
+// fullest.
 func (p *Pool) hostsWithCapacity(now time.Time) []*ownedHost {
 	var hosts []*ownedHost
 	for _, t := range p.hosts {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -94,7 +94,9 @@
 			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.sizes[k.Batch]} },
 		})
 		b.calls.hosts[id] = h
-		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, StartTime: h.StartTime(), Capacity: capacity})
+		b.list = append(b.list, machine.Listing{
+			Worker: id, Backend: "s", Address: id, StartTime: h.StartTime(), Capacity: capacity,
+		})
 	}
 	b.pool = New(Options{
 		Backend: "s", Calls: b.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
@@ -242,7 +244,9 @@
 		b.pool.mu.Lock()
 		host := b.pool.hosts["w0"]
 		b.pool.mu.Unlock()
-		early := link.PollReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].StartTime}}
+		early := link.PollReply{HostReply: link.HostReply{
+			Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].StartTime,
+		}}
 		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
 		require.Equal(t, contract.RunStarted, b.state(key))
 	})
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -214,8 +214,9 @@
 // putEntry writes a worker's entry in the server list to the store.
 func (s *Soak) putEntry(w *worker) {
 	s.store.Put("keyed.servers", w.id, standin.EntryDocument(machine.Listing{
-		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.StartTime(), Capacity: capacity,
-		Labels: []string{"a", "r1"},
+		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.StartTime(),
+		Capacity: capacity,
+		Labels:   []string{"a", "r1"},
 	}))
 }
 
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -73,7 +73,7 @@
 type hostRun struct {
 	key     contract.RunKey
 	started time.Time
-	outcome RunPlan
+	plan    RunPlan
 	timer   *time.Timer
 	// stopping is true after a stop call. The run still uses capacity until it ends.
 	stopping bool
@@ -113,7 +113,7 @@
 	h.delay = d
 }
 
-// SetDelayEveryNth applies the fault of SetLate to every nth call only. An n of 0 ends it.
+// SetDelayEveryNth applies the fault of SetDelay to every nth call only. An n of 0 ends it.
 func (h *RunHost) SetDelayEveryNth(n int, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -238,12 +238,12 @@
 	if !h.capacity.Minus(h.used).Fits(need) {
 		return link.StartNoCapacity, reply
 	}
-	r := &hostRun{key: s.Key, started: time.Now(), outcome: h.work(s.Key)}
+	r := &hostRun{key: s.Key, started: time.Now(), plan: h.work(s.Key)}
 	h.used = h.used.Plus(need)
 	h.running[s.Key] = r
 	h.observer.Started(h.id, s.Key)
-	if !r.outcome.Stalls {
-		r.timer = time.AfterFunc(r.outcome.Duration, func() { h.complete(r) })
+	if !r.plan.Stalls {
+		r.timer = time.AfterFunc(r.plan.Duration, func() { h.complete(r) })
 	}
 	return link.StartAccepted, reply
 }
@@ -276,7 +276,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state := contract.RunDone
-	if r.outcome.Fails {
+	if r.plan.Fails {
 		state = contract.RunFailed
 	}
 	if r.stopping {
@@ -370,8 +370,8 @@
 	out := link.PollReply{HostReply: h.reply()}
 	for _, r := range h.running {
 		progress := 0
-		if !r.outcome.Stalls && r.outcome.Duration > 0 {
-			progress = int(100 * time.Since(r.started) / r.outcome.Duration)
+		if !r.plan.Stalls && r.plan.Duration > 0 {
+			progress = int(100 * time.Since(r.started) / r.plan.Duration)
 		}
 		out.Running = append(out.Running, link.RunningRun{Key: r.key, Progress: progress})
 	}
--- a/timeline/ring_test.go
+++ b/timeline/ring_test.go
@@ -49,7 +49,7 @@
 	require.Len(t, seen, 800)
 }
 
-// Guards against allocations on the path of each start and against Switch(false) not disabling recording.
+// Guards against allocations on the path of each start and against SetEnabled(false) not disabling recording.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	r := NewRing(Process{VM: "entry-1"}, 1024, &Clock{}, fixedNow)
 	e := Event{Kind: TaskStarted, Worker: "worker-1"}
--- a/zone/allocation.go
+++ b/zone/allocation.go
@@ -32,7 +32,7 @@
 	withheldAt  time.Time
 	held        map[string]heldSlots
 	sum         Count
-	countedFree int // the worker's contribution to Granter.free
+	countedFree int // the worker's contribution to SlotAllocator.free
 	heapIndex   [2]int
 }
 
@@ -74,24 +74,24 @@
 	return sum == w.sum
 }
 
-// update restores the heaps and the free count after a change of w. It expects g.mu to be held.
-func (g *SlotAllocator) update(w *grantedWorker) {
+// update restores the heaps and the free count after a change of w. It expects a.mu to be held.
+func (a *SlotAllocator) update(w *grantedWorker) {
 	free := w.free()
-	g.free += free - w.countedFree
+	a.free += free - w.countedFree
 	w.countedFree = free
-	g.short.set(w, free > 0)
-	g.long.set(w, w.allowsLong())
+	a.short.set(w, free > 0)
+	a.long.set(w, w.allowsLong())
 }
 
-// drop expects g.mu to be held.
-func (g *SlotAllocator) drop(w *grantedWorker) {
+// drop expects a.mu to be held.
+func (a *SlotAllocator) drop(w *grantedWorker) {
 	w.closed = true
-	g.update(w)
-	delete(g.workers, w.id)
+	a.update(w)
+	delete(a.workers, w.id)
 }
 
-// setHeld expects g.mu to be held.
-func (g *SlotAllocator) setHeld(w *grantedWorker, member string, c Count, now time.Time) {
+// setHeld expects a.mu to be held.
+func (a *SlotAllocator) setHeld(w *grantedWorker, member string, c Count, now time.Time) {
 	old, ok := w.held[member]
 	if !ok && c.Sum() == 0 {
 		return
@@ -103,77 +103,79 @@
 	} else {
 		w.held[member] = heldSlots{Count: c, renewed: now}
 	}
-	g.update(w)
+	a.update(w)
 }
 
 // release takes back at most the slots that the member holds. The slot of a task that was reclassified as long may be
-// returned as long before the report of the reclassification. It expects g.mu to be held.
-func (g *SlotAllocator) release(w *grantedWorker, member string, c Count) {
+// returned as long before the report of the reclassification. It expects a.mu to be held.
+func (a *SlotAllocator) release(w *grantedWorker, member string, c Count) {
 	h := w.held[member]
 	c.Short += max(0, c.Long-h.Long)
 	left := Count{Short: h.Short - min(c.Short, h.Short), Long: h.Long - min(c.Long, h.Long)}
-	g.setHeld(w, member, left, h.renewed)
+	a.setHeld(w, member, left, h.renewed)
 }
 
-// allocate grants free slots to the members whose tasks have waited longest. It expects g.mu to be held.
-func (g *SlotAllocator) allocate(now time.Time) []Allocation {
+// allocate grants free slots to the members whose tasks have waited longest. It expects a.mu to be held.
+func (a *SlotAllocator) allocate(now time.Time) []Allocation {
 	var out []Allocation
-	for g.short.Len() > 0 {
-		name, m := g.longestWaiting(shortClass)
+	for a.short.Len() > 0 {
+		name, m := a.longestWaiting(shortClass)
 		if m == nil {
 			break
 		}
 		m.need.Short--
-		out = g.grant(out, g.short.workers[0], name, Count{Short: 1}, now)
+		out = a.grant(out, a.short.workers[0], name, Count{Short: 1}, now)
 	}
-	for g.long.Len() > 0 {
-		name, m := g.longestWaiting(longClass)
+	for a.long.Len() > 0 {
+		name, m := a.longestWaiting(longClass)
 		if m == nil {
 			break
 		}
 		m.need.Long--
-		out = g.grant(out, g.long.workers[0], name, Count{Long: 1}, now)
+		out = a.grant(out, a.long.workers[0], name, Count{Long: 1}, now)
 	}
 	if len(out) == 0 {
 		return nil
 	}
-	return g.assignNumbers(merge(out), now)
+	return a.assignNumbers(merge(out), now)
 }
 
-// grant expects g.mu to be held.
-func (g *SlotAllocator) grant(out []Allocation, w *grantedWorker, name string, c Count, now time.Time) []Allocation {
+// grant expects a.mu to be held.
+func (a *SlotAllocator) grant(out []Allocation, w *grantedWorker, name string, c Count, now time.Time) []Allocation {
 	h := w.held[name]
-	g.setHeld(w, name, Count{Short: h.Short + c.Short, Long: h.Long + c.Long}, now)
-	g.check(w.sum.Sum()+w.withheld <= w.slots)
+	a.setHeld(w, name, Count{Short: h.Short + c.Short, Long: h.Long + c.Long}, now)
+	a.check(w.sum.Sum()+w.withheld <= w.slots)
 	if c.Long > 0 {
-		g.check(float64(w.sum.Long) <= max(1, maxLongShare*float64(w.slots)))
+		a.check(float64(w.sum.Long) <= max(1, maxLongShare*float64(w.slots)))
 	}
-	return append(out, Allocation{Member: name, Worker: w.id, Slots: c, Epoch: g.epoch})
+	return append(out, Allocation{Member: name, Worker: w.id, Slots: c, Epoch: a.epoch})
 }
 
-// assignNumbers sets the grant number of the allocations of one decision, one number per member. It expects g.mu to
+// assignNumbers sets the grant number of the allocations of one decision, one number per member. It expects a.mu to
 // be held.
-func (g *SlotAllocator) assignNumbers(out []Allocation, now time.Time) []Allocation {
+func (a *SlotAllocator) assignNumbers(out []Allocation, now time.Time) []Allocation {
 	for i := range out {
-		a := &out[i]
-		m := g.member(a.Member)
-		if i == 0 || out[i-1].Member != a.Member {
+		grant := &out[i]
+		m := a.member(grant.Member)
+		if i == 0 || out[i-1].Member != grant.Member {
 			m.number++
 		}
-		a.Number = m.number
-		if a.Member != g.self {
-			m.unacked = append(m.unacked, unackedGrant{number: a.Number, worker: a.Worker, slots: a.Slots, sent: now})
+		grant.Number = m.number
+		if grant.Member != a.self {
+			m.unacked = append(m.unacked, unackedGrant{
+				number: grant.Number, worker: grant.Worker, slots: grant.Slots, sent: now,
+			})
 		}
 	}
 	return out
 }
 
-// longestWaiting returns the member whose task of the class has waited longest. It expects g.mu to be held.
-func (g *SlotAllocator) longestWaiting(class slotClass) (string, *grantee) {
+// longestWaiting returns the member whose task of the class has waited longest. It expects a.mu to be held.
+func (a *SlotAllocator) longestWaiting(class slotClass) (string, *grantee) {
 	var name string
 	var best *grantee
 	var bestSince time.Time
-	for n, m := range g.members {
+	for n, m := range a.members {
 		wanted, since := m.need.Short, m.shortSince
 		if class == longClass {
 			wanted, since = m.need.Long, m.longSince
@@ -181,7 +183,7 @@
 		if wanted <= 0 {
 			continue
 		}
-		if n == g.self {
+		if n == a.self {
 			since = since.Add(-selfPreference)
 		}
 		if best == nil || since.Before(bestSince) || (since.Equal(bestSince) && n < name) {
--- a/zone/allocator.go
+++ b/zone/allocator.go
@@ -66,8 +66,8 @@
 	Closed bool
 }
 
-// SlotAllocator is the slot allocator of the workers of one service that are assigned to this VM: it leases their slots to
-// members, itself included. Its mutex guards all fields but self and epoch, which are not changed.
+// SlotAllocator is the slot allocator of the workers of one service that are assigned to this VM: it leases their
+// slots to members, itself included. Its mutex guards all fields but self and epoch, which are not changed.
 type SlotAllocator struct {
 	self  string
 	epoch uint64
@@ -126,11 +126,11 @@
 	}
 }
 
-func (g *SlotAllocator) member(name string) *grantee {
-	m, ok := g.members[name]
+func (a *SlotAllocator) member(name string) *grantee {
+	m, ok := a.members[name]
 	if !ok {
 		m = &grantee{}
-		g.members[name] = m
+		a.members[name] = m
 	}
 	return m
 }
@@ -138,9 +138,9 @@
 // Assign replaces the set of workers. Members may hold slots of a worker that is new here, so its slots are granted
 // only after all of others have reported, or after TakeoverWait; own lists the slots that this VM holds. Assign
 // reports whether the others have to be asked.
-func (g *SlotAllocator) Assign(offers []Offer, own []Held, others []string, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *SlotAllocator) Assign(offers []Offer, own []Held, others []string, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	seen := make(map[machine.WorkerID]bool, len(offers))
 	takenOver := false
 	held := make(map[machine.WorkerID]Count, len(own))
@@ -149,48 +149,48 @@
 	}
 	for _, o := range offers {
 		seen[o.Worker] = true
-		w, ok := g.workers[o.Worker]
+		w, ok := a.workers[o.Worker]
 		if !ok {
 			w = newGrantedWorker(o.Worker)
 			w.pending = len(others) > 0
 			takenOver = takenOver || w.pending
-			g.workers[o.Worker] = w
-			g.setHeld(w, g.self, held[o.Worker], now)
+			a.workers[o.Worker] = w
+			a.setHeld(w, a.self, held[o.Worker], now)
 		}
 		w.slots, w.speed, w.closed = o.Slots, o.Speed, o.Closed
-		g.update(w)
+		a.update(w)
 	}
-	for id, w := range g.workers {
+	for id, w := range a.workers {
 		if !seen[id] {
-			g.drop(w)
+			a.drop(w)
 		}
 	}
-	g.slots = 0
-	for _, w := range g.workers {
-		g.slots += w.slots
+	a.slots = 0
+	for _, w := range a.workers {
+		a.slots += w.slots
 	}
 	if takenOver {
-		g.awaitReports(others, now)
+		a.awaitReports(others, now)
 	}
 	return takenOver
 }
 
-// awaitReports expects g.mu to be held.
-func (g *SlotAllocator) awaitReports(others []string, now time.Time) {
-	if g.awaiting == nil {
-		g.awaiting = make(map[string]bool, len(others))
+// awaitReports expects a.mu to be held.
+func (a *SlotAllocator) awaitReports(others []string, now time.Time) {
+	if a.awaiting == nil {
+		a.awaiting = make(map[string]bool, len(others))
 	}
 	for _, m := range others {
-		g.awaiting[m] = true
+		a.awaiting[m] = true
 	}
-	g.awaitedUntil = now.Add(TakeoverWait)
+	a.awaitedUntil = now.Add(TakeoverWait)
 }
 
 // Demand replaces a member's demand and returns the resulting allocations.
-func (g *SlotAllocator) Demand(member string, n Need, now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+func (a *SlotAllocator) Demand(member string, n Need, now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	m.dropSettled(n.Received, now)
 	unacked := m.unackedSlots()
 	m.need = Count{Short: max(0, n.Tasks.Short-unacked.Short), Long: max(0, n.Tasks.Long-unacked.Long)}
@@ -200,14 +200,14 @@
 	if n.Tasks.Short > 0 {
 		m.backlog = m.shortSince
 	}
-	return g.allocate(now)
+	return a.allocate(now)
 }
 
 // ObserveWait records how long a member's oldest short task has waited; zero means that none waits.
-func (g *SlotAllocator) ObserveWait(member string, wait time.Duration, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+func (a *SlotAllocator) ObserveWait(member string, wait time.Duration, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	m.seen = now
 	m.backlog = time.Time{}
 	if wait > 0 {
@@ -216,41 +216,41 @@
 }
 
 // Return takes back the slots that a member returns, and returns the resulting allocations.
-func (g *SlotAllocator) Return(member string, slots []Held, now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+func (a *SlotAllocator) Return(member string, slots []Held, now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	for _, h := range slots {
-		if w, ok := g.workers[h.Worker]; ok {
-			g.release(w, member, h.Slots)
+		if w, ok := a.workers[h.Worker]; ok {
+			a.release(w, member, h.Slots)
 		}
 		m.recalled = max(0, m.recalled-h.Slots.Sum())
 	}
-	return g.allocate(now)
+	return a.allocate(now)
 }
 
 // Reject takes back slots on which the worker refused a start because it had none free, which means that another
 // allocator has granted them. They are withheld for withholdTime.
-func (g *SlotAllocator) Reject(member string, slots []Held, now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *SlotAllocator) Reject(member string, slots []Held, now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for _, h := range slots {
-		w, ok := g.workers[h.Worker]
+		w, ok := a.workers[h.Worker]
 		if !ok {
 			continue
 		}
 		w.withhold(h.Slots.Sum(), now)
-		g.release(w, member, h.Slots)
+		a.release(w, member, h.Slots)
 	}
-	return g.allocate(now)
+	return a.allocate(now)
 }
 
 // Report replaces the record of the slots that a member holds, except for the grants that it has not received yet.
 // Workers that are not in the report count as not held.
-func (g *SlotAllocator) Report(member string, held []Held, received uint64, complete bool, now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+func (a *SlotAllocator) Report(member string, held []Held, received uint64, complete bool, now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	m.seen = now
 	m.dropSettled(received, now)
 	counts := make(map[machine.WorkerID]Count, len(held))
@@ -261,136 +261,136 @@
 		c := counts[f.worker]
 		counts[f.worker] = Count{Short: c.Short + f.slots.Short, Long: c.Long + f.slots.Long}
 	}
-	for _, w := range g.workers {
-		g.setHeld(w, member, counts[w.id], now)
+	for _, w := range a.workers {
+		a.setHeld(w, member, counts[w.id], now)
 	}
 	if complete {
-		delete(g.awaiting, member)
+		delete(a.awaiting, member)
 	}
-	g.endTakeover(now)
-	return g.allocate(now)
+	a.endTakeover(now)
+	return a.allocate(now)
 }
 
 // MemberGone takes back all slots that a member held and drops its demand.
-func (g *SlotAllocator) MemberGone(member string, now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+func (a *SlotAllocator) MemberGone(member string, now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	// The grant number continues, so that a member that was only cut off does not treat an old grant as a new one.
 	*m = grantee{number: m.number, seen: now}
-	delete(g.awaiting, member)
-	for _, w := range g.workers {
-		g.setHeld(w, member, Count{}, now)
+	delete(a.awaiting, member)
+	for _, w := range a.workers {
+		a.setHeld(w, member, Count{}, now)
 	}
-	g.endTakeover(now)
-	return g.allocate(now)
+	a.endTakeover(now)
+	return a.allocate(now)
 }
 
 // Tick ends takeovers, expires grants and demands, and makes withheld slots available again.
-func (g *SlotAllocator) Tick(now time.Time) []Allocation {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.endTakeover(now)
-	for name, m := range g.members {
-		if name != g.self && now.Sub(m.refreshed) > demandTTL {
+func (a *SlotAllocator) Tick(now time.Time) []Allocation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.endTakeover(now)
+	for name, m := range a.members {
+		if name != a.self && now.Sub(m.refreshed) > demandTTL {
 			m.need, m.backlog = Count{}, time.Time{}
 		}
-		if name != g.self && now.Sub(m.seen) > memberRetention {
-			delete(g.members, name)
+		if name != a.self && now.Sub(m.seen) > memberRetention {
+			delete(a.members, name)
 		}
 	}
-	for _, w := range g.workers {
+	for _, w := range a.workers {
 		if w.withheld > 0 && now.Sub(w.withheldAt) > withholdTime {
 			// One at a time: how many slots other allocators have granted is unknown.
 			w.withheld--
 			w.withheldAt = now
-			g.update(w)
+			a.update(w)
 		}
 		for name, h := range w.held {
-			if name != g.self && now.Sub(h.renewed) > GrantTTL {
-				g.setHeld(w, name, Count{}, now)
+			if name != a.self && now.Sub(h.renewed) > GrantTTL {
+				a.setHeld(w, name, Count{}, now)
 			}
 		}
 	}
-	return g.allocate(now)
+	return a.allocate(now)
 }
 
-// CancelDemand drops the demand of a member that does not respond. The slots that it holds stay counted, because its tasks
-// continue.
-func (g *SlotAllocator) CancelDemand(member string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member(member)
+// CancelDemand drops the demand of a member that does not respond. The slots that it holds stay counted, because its
+// tasks continue.
+func (a *SlotAllocator) CancelDemand(member string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	m := a.member(member)
 	m.need, m.backlog = Count{}, time.Time{}
-	delete(g.awaiting, member)
+	delete(a.awaiting, member)
 }
 
-// AwaitReport prepares for a member that responds again: another allocator may have granted it slots of any worker here.
-// No slot is granted until the member has reported, or for TakeoverWait, and no slot is withheld after that.
-func (g *SlotAllocator) AwaitReport(member string, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.awaiting == nil {
-		g.awaiting = make(map[string]bool)
+// AwaitReport prepares for a member that responds again: another allocator may have granted it slots of any worker
+// here. No slot is granted until the member has reported, or for TakeoverWait, and no slot is withheld after that.
+func (a *SlotAllocator) AwaitReport(member string, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.awaiting == nil {
+		a.awaiting = make(map[string]bool)
 	}
-	g.awaiting[member] = true
-	g.awaitedUntil = now.Add(TakeoverWait)
-	for _, w := range g.workers {
+	a.awaiting[member] = true
+	a.awaitedUntil = now.Add(TakeoverWait)
+	for _, w := range a.workers {
 		w.pending = true
 		w.withheld = 0
-		g.update(w)
+		a.update(w)
 	}
 }
 
-// endTakeover expects g.mu to be held.
-func (g *SlotAllocator) endTakeover(now time.Time) {
-	if g.awaiting == nil || (len(g.awaiting) > 0 && now.Before(g.awaitedUntil)) {
+// endTakeover expects a.mu to be held.
+func (a *SlotAllocator) endTakeover(now time.Time) {
+	if a.awaiting == nil || (len(a.awaiting) > 0 && now.Before(a.awaitedUntil)) {
 		return
 	}
-	g.awaiting = nil
-	for _, w := range g.workers {
+	a.awaiting = nil
+	for _, w := range a.workers {
 		if w.pending {
 			w.pending = false
-			g.update(w)
+			a.update(w)
 		}
 	}
 }
 
 // Free returns the number of slots that can be granted now.
-func (g *SlotAllocator) Free() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.free
+func (a *SlotAllocator) Free() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.free
 }
 
 // TakingOver reports whether slots are held back until the members have reported their holdings.
-func (g *SlotAllocator) TakingOver() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.awaiting != nil
+func (a *SlotAllocator) TakingOver() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.awaiting != nil
 }
 
 // TakeChecks returns and resets the numbers of invariant checks, after checking that the counts of all workers add
 // up.
-func (g *SlotAllocator) TakeChecks() Checks {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *SlotAllocator) TakeChecks() Checks {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	free := 0
-	for _, w := range g.workers {
-		g.check(w.consistent())
+	for _, w := range a.workers {
+		a.check(w.consistent())
 		free += w.free()
 	}
-	g.check(free == g.free)
-	c := g.checks
-	g.checks = Checks{}
+	a.check(free == a.free)
+	c := a.checks
+	a.checks = Checks{}
 	return c
 }
 
-// check expects g.mu to be held.
-func (g *SlotAllocator) check(ok bool) {
-	g.checks.Made++
+// check expects a.mu to be held.
+func (a *SlotAllocator) check(ok bool) {
+	a.checks.Made++
 	if !ok {
-		g.checks.Violated++
+		a.checks.Violated++
 	}
 }
 
--- a/zone/allocator_test.go
+++ b/zone/allocator_test.go
@@ -23,14 +23,14 @@
 
 // allocatorModel simulates members that hold the slots granted to them.
 type allocatorModel struct {
-	t      *rapid.T
-	g      *SlotAllocator
-	now    time.Time
-	offers []Offer
-	held   map[string]map[machine.WorkerID]Count
-	need   map[string]Count
-	number map[string]uint64
-	gone   map[string]bool
+	t         *rapid.T
+	allocator *SlotAllocator
+	now       time.Time
+	offers    []Offer
+	held      map[string]map[machine.WorkerID]Count
+	need      map[string]Count
+	number    map[string]uint64
+	gone      map[string]bool
 }
 
 func (m *allocatorModel) receive(allocations []Allocation) {
@@ -65,12 +65,12 @@
 		free += o.Slots - sum.Sum()
 		longFree = longFree || (sum.Sum() < o.Slots && float64(sum.Long+1) <= max(1, maxLongShare*float64(o.Slots)))
 	}
-	require.Equal(m.t, free, m.g.Free())
+	require.Equal(m.t, free, m.allocator.Free())
 	for name, n := range m.need {
 		require.False(m.t, n.Short > 0 && free > 0, "short work of %s waits although a slot is free", name)
 		require.False(m.t, n.Long > 0 && longFree, "long work of %s waits although it may use a free slot", name)
 	}
-	c := m.g.TakeChecks()
+	c := m.allocator.TakeChecks()
 	require.Zero(m.t, c.Violated)
 	require.Positive(m.t, c.Made)
 }
@@ -84,7 +84,7 @@
 	wait := time.Duration(rapid.IntRange(0, 500).Draw(m.t, "wait")) * time.Millisecond
 	delete(m.gone, name)
 	m.need[name] = n
-	m.receive(m.g.Demand(name, Need{Tasks: n, ShortWait: wait, LongWait: wait, Received: m.number[name]}, m.now))
+	m.receive(m.allocator.Demand(name, Need{Tasks: n, ShortWait: wait, LongWait: wait, Received: m.number[name]}, m.now))
 }
 
 func (m *allocatorModel) returnSlots(name string) {
@@ -95,7 +95,7 @@
 		}
 		r := Count{Short: rapid.IntRange(0, c.Short).Draw(m.t, "short"), Long: rapid.IntRange(0, c.Long).Draw(m.t, "long")}
 		m.held[name][o.Worker] = Count{Short: c.Short - r.Short, Long: c.Long - r.Long}
-		m.receive(m.g.Return(name, []Held{{Worker: o.Worker, Slots: r}}, m.now))
+		m.receive(m.allocator.Return(name, []Held{{Worker: o.Worker, Slots: r}}, m.now))
 	}
 }
 
@@ -106,7 +106,7 @@
 			held = append(held, Held{Worker: w, Slots: c})
 		}
 	}
-	m.receive(m.g.Report(name, held, m.number[name], false, m.now))
+	m.receive(m.allocator.Report(name, held, m.number[name], false, m.now))
 }
 
 // Guards the counts of an allocator: never more than a worker's slots, long work within its share, no grants to
@@ -114,12 +114,12 @@
 func TestAllocatorProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &allocatorModel{
-			t: t, g: NewSlotAllocator(testSelf, 1), now: time.Unix(1000, 0),
+			t: t, allocator: NewSlotAllocator(testSelf, 1), now: time.Unix(1000, 0),
 			offers: testOffers(rapid.IntRange(1, 5).Draw(t, "workers"), rapid.IntRange(1, 9).Draw(t, "slots")),
 			held:   make(map[string]map[machine.WorkerID]Count), need: make(map[string]Count),
 			number: make(map[string]uint64), gone: make(map[string]bool),
 		}
-		m.g.Assign(m.offers, nil, nil, m.now)
+		m.allocator.Assign(m.offers, nil, nil, m.now)
 		member := rapid.SampledFrom(m.members())
 		t.Repeat(map[string]func(*rapid.T){
 			"demand": func(t *rapid.T) { m.t = t; m.demand(member.Draw(t, "member")) },
@@ -131,7 +131,7 @@
 				m.gone[name] = true
 				delete(m.held, name)
 				delete(m.need, name)
-				m.receive(m.g.MemberGone(name, m.now))
+				m.receive(m.allocator.MemberGone(name, m.now))
 			},
 			"time": func(t *rapid.T) {
 				m.t = t
@@ -143,25 +143,25 @@
 					// Members renew their grants and refresh their demands.
 					m.report(name)
 					n := m.need[name]
-					m.receive(m.g.Demand(name, Need{Tasks: n, Received: m.number[name]}, m.now))
+					m.receive(m.allocator.Demand(name, Need{Tasks: n, Received: m.number[name]}, m.now))
 				}
-				m.receive(m.g.Tick(m.now))
+				m.receive(m.allocator.Tick(m.now))
 			},
 			"": func(t *rapid.T) { m.t = t; m.check() },
 		})
 		m.t = t
 		for _, name := range m.members() {
 			m.need[name] = Count{}
-			m.receive(m.g.Demand(name, Need{Received: m.number[name]}, m.now))
+			m.receive(m.allocator.Demand(name, Need{Received: m.number[name]}, m.now))
 		}
 		for _, name := range m.members() {
 			for w, c := range m.held[name] {
 				m.held[name][w] = Count{}
-				m.receive(m.g.Return(name, []Held{{Worker: w, Slots: c}}, m.now))
+				m.receive(m.allocator.Return(name, []Held{{Worker: w, Slots: c}}, m.now))
 			}
 		}
 		m.check()
-		for _, w := range m.g.workers {
+		for _, w := range m.allocator.workers {
 			require.Empty(t, w.held)
 		}
 	})
@@ -173,91 +173,93 @@
 	now := time.Unix(1000, 0)
 	offers := testOffers(1, 8)
 	need := Need{Tasks: Count{Short: 20}}
-	g := NewSlotAllocator(testSelf, 1)
-	require.True(t, g.Assign(offers, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, []string{"entry-1", "entry-2"}, now))
-	require.Empty(t, g.Demand(testSelf, need, now))
-	require.Empty(t, g.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, 0, true, now))
-	require.Empty(t, g.Tick(now.Add(TakeoverWait-time.Millisecond)))
-	out := g.Report("entry-2", []Held{{Worker: "w0", Slots: Count{Short: 2, Long: 1}}}, 0, true, now)
+	allocator := NewSlotAllocator(testSelf, 1)
+	own := []Held{{Worker: "w0", Slots: Count{Short: 1}}}
+	require.True(t, allocator.Assign(offers, own, []string{"entry-1", "entry-2"}, now))
+	require.Empty(t, allocator.Demand(testSelf, need, now))
+	require.Empty(t, allocator.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, 0, true, now))
+	require.Empty(t, allocator.Tick(now.Add(TakeoverWait-time.Millisecond)))
+	out := allocator.Report("entry-2", []Held{{Worker: "w0", Slots: Count{Short: 2, Long: 1}}}, 0, true, now)
 	require.Len(t, out, 1)
 	require.Equal(t, 2, out[0].Slots.Short, "eight slots minus one of its own and five reported")
 
-	g = NewSlotAllocator(testSelf, 2)
-	require.True(t, g.Assign(offers, nil, []string{"entry-1"}, now))
-	require.Empty(t, g.Demand(testSelf, need, now))
-	require.Len(t, g.Tick(now.Add(TakeoverWait)), 1, "a member that does not answer delays grants for TakeoverWait only")
+	allocator = NewSlotAllocator(testSelf, 2)
+	require.True(t, allocator.Assign(offers, nil, []string{"entry-1"}, now))
+	require.Empty(t, allocator.Demand(testSelf, need, now))
+	require.Len(t, allocator.Tick(now.Add(TakeoverWait)), 1,
+		"a member that does not answer delays grants for TakeoverWait only")
 }
 
 // Guards against slots lost with a holder that stops reporting, and against a report that removes grants in transit.
 func TestAllocatorRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewSlotAllocator(testSelf, 1)
-	g.Assign(testOffers(1, 8), nil, nil, now)
-	out := g.Demand("entry-1", Need{Tasks: Count{Short: 3}}, now)
+	allocator := NewSlotAllocator(testSelf, 1)
+	allocator.Assign(testOffers(1, 8), nil, nil, now)
+	out := allocator.Demand("entry-1", Need{Tasks: Count{Short: 3}}, now)
 	require.Len(t, out, 1)
-	g.Report("entry-1", nil, 0, false, now.Add(time.Millisecond))
-	require.Equal(t, 5, g.Free(), "the grant had not arrived when the report was sent")
-	g.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, out[0].Number, false, now.Add(time.Second))
-	require.Equal(t, 6, g.Free())
-	g.Tick(now.Add(time.Second + GrantTTL))
-	require.Equal(t, 6, g.Free())
-	g.Tick(now.Add(time.Second + GrantTTL + time.Millisecond))
-	require.Equal(t, 8, g.Free(), "grants expire")
+	allocator.Report("entry-1", nil, 0, false, now.Add(time.Millisecond))
+	require.Equal(t, 5, allocator.Free(), "the grant had not arrived when the report was sent")
+	allocator.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, out[0].Number, false, now.Add(time.Second))
+	require.Equal(t, 6, allocator.Free())
+	allocator.Tick(now.Add(time.Second + GrantTTL))
+	require.Equal(t, 6, allocator.Free())
+	allocator.Tick(now.Add(time.Second + GrantTTL + time.Millisecond))
+	require.Equal(t, 8, allocator.Free(), "grants expire")
 }
 
 // Guards against repeated grants of a slot that another allocator has granted: it is withheld, granted again later,
 // and free immediately once the member that may hold it has reported.
 func TestAllocatorReject(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewSlotAllocator(testSelf, 1)
-	g.Assign(testOffers(1, 2), nil, nil, now)
-	out := g.Demand(testSelf, Need{Tasks: Count{Short: 2}}, now)
+	allocator := NewSlotAllocator(testSelf, 1)
+	allocator.Assign(testOffers(1, 2), nil, nil, now)
+	out := allocator.Demand(testSelf, Need{Tasks: Count{Short: 2}}, now)
 	require.Equal(t, 2, out[0].Slots.Short)
-	require.Empty(t, g.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now))
-	require.Zero(t, g.Free())
-	g.Tick(now.Add(withholdTime + time.Millisecond))
-	require.Equal(t, 1, g.Free())
+	require.Empty(t, allocator.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now))
+	require.Zero(t, allocator.Free())
+	allocator.Tick(now.Add(withholdTime + time.Millisecond))
+	require.Equal(t, 1, allocator.Free())
 
-	g.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now)
-	g.AwaitReport("entry-1", now)
-	require.Zero(t, g.Free())
-	g.Report("entry-1", nil, 0, true, now)
-	require.Equal(t, 2, g.Free())
+	allocator.Reject(testSelf, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, now)
+	allocator.AwaitReport("entry-1", now)
+	require.Zero(t, allocator.Free())
+	allocator.Report("entry-1", nil, 0, true, now)
+	require.Equal(t, 2, allocator.Free())
 }
 
 // Guards fairness: slots are recalled from work that is clearly younger, not from work of about the same age, and no
 // more are recalled while the difference shrinks.
 func TestAllocatorRecalls(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewSlotAllocator(testSelf, 1)
-	g.Assign(testOffers(2, 8), nil, nil, now)
-	g.Demand("entry-1", Need{Tasks: Count{Short: 30}}, now)
-	require.Zero(t, g.Free())
+	allocator := NewSlotAllocator(testSelf, 1)
+	allocator.Assign(testOffers(2, 8), nil, nil, now)
+	allocator.Demand("entry-1", Need{Tasks: Count{Short: 30}}, now)
+	require.Zero(t, allocator.Free())
 	demand := func(name string, wait time.Duration, at time.Time) {
-		g.Demand(name, Need{Tasks: Count{Short: 10}, ShortWait: wait, Received: 9}, at)
+		allocator.Demand(name, Need{Tasks: Count{Short: 10}, ShortWait: wait, Received: 9}, at)
 	}
 	demand("entry-1", 100*time.Millisecond, now)
 	demand("entry-2", 110*time.Millisecond, now)
-	require.Empty(t, g.Recalls(now), "about the same age")
+	require.Empty(t, allocator.Recalls(now), "about the same age")
 	demand("entry-2", 300*time.Millisecond, now)
-	recalls := g.Recalls(now)
+	recalls := allocator.Recalls(now)
 	require.Len(t, recalls, 1)
 	require.Equal(t, "entry-1", recalls[0].Member)
 	require.Equal(t, 300*time.Millisecond, recalls[0].Wait)
-	require.Empty(t, g.Recalls(now), "spaced")
+	require.Empty(t, allocator.Recalls(now), "spaced")
 
 	later := now.Add(time.Second)
 	demand("entry-1", 120*time.Millisecond, later)
 	demand("entry-2", 250*time.Millisecond, later)
-	require.Empty(t, g.Recalls(later), "the difference shrinks")
+	require.Empty(t, allocator.Recalls(later), "the difference shrinks")
 }
 
 // Guards the choice of worker: short work gets the fastest free worker, long work the slowest.
 func TestAllocatorWorkerChoice(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := NewSlotAllocator(testSelf, 1)
-	g.Assign([]Offer{{Worker: "slow", Slots: 2, Speed: 0.5}, {Worker: "fast", Slots: 2, Speed: 2}}, nil, nil, now)
-	out := g.Demand(testSelf, Need{Tasks: Count{Short: 1, Long: 1}}, now)
+	allocator := NewSlotAllocator(testSelf, 1)
+	allocator.Assign([]Offer{{Worker: "slow", Slots: 2, Speed: 0.5}, {Worker: "fast", Slots: 2, Speed: 2}}, nil, nil, now)
+	out := allocator.Demand(testSelf, Need{Tasks: Count{Short: 1, Long: 1}}, now)
 	require.Len(t, out, 2)
 	require.Equal(t, machine.WorkerID("fast"), out[0].Worker)
 	require.Equal(t, Count{Short: 1}, out[0].Slots)
--- a/zone/allocatorview.go
+++ b/zone/allocatorview.go
@@ -25,11 +25,11 @@
 }
 
 // View returns all workers with their holders, ordered by worker and member.
-func (g *SlotAllocator) View() []WorkerGrants {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *SlotAllocator) View() []WorkerGrants {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var out []WorkerGrants
-	for id, w := range g.workers {
+	for id, w := range a.workers {
 		v := WorkerGrants{Worker: id, Slots: w.slots, Free: w.free(), Closed: w.closed, Withheld: w.withheld}
 		for member, h := range w.held {
 			v.Holders = append(v.Holders, Holder{Member: member, Short: h.Short, Long: h.Long})
--- a/zone/capacity.go
+++ b/zone/capacity.go
@@ -19,18 +19,18 @@
 }
 
 // Wait estimates how long a task of a priority waits for free capacity.
-func (r *BackendCapacity) Wait(priority int) time.Duration {
-	if r.Slots == 0 {
+func (c *BackendCapacity) Wait(priority int) time.Duration {
+	if c.Slots == 0 {
 		return noWorkersWait
 	}
-	if r.Free > 0 {
+	if c.Free > 0 {
 		return 0
 	}
 	var ahead time.Duration
 	for p := 0; p <= min(priority, Priorities-1); p++ {
-		ahead += r.Waiting[p]
+		ahead += c.Waiting[p]
 	}
-	return minFullWait + ahead/time.Duration(r.Slots)
+	return minFullWait + ahead/time.Duration(c.Slots)
 }
 
 const (
@@ -51,8 +51,8 @@
 	capacities map[string]*BackendCapacity
 }
 
-// CapacityView is the view that the homes of jobs have of the owners of workers and their free capacity. Its mutex guards
-// all fields but self and domain, which are not changed.
+// CapacityView is the view that the homes of jobs have of the owners of workers and their free capacity. Its mutex
+// guards all fields but self and domain, which are not changed.
 type CapacityView struct {
 	self   string
 	domain string
@@ -67,27 +67,27 @@
 }
 
 // Update replaces the capacities that an owner has reported.
-func (r *CapacityView) Update(id, domain string, leaving bool, capacities map[string]*BackendCapacity) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.owners[id] = &ownerState{domain: domain, leaving: leaving, capacities: capacities}
+func (v *CapacityView) Update(id, domain string, leaving bool, capacities map[string]*BackendCapacity) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.owners[id] = &ownerState{domain: domain, leaving: leaving, capacities: capacities}
 }
 
 // Remove deletes an owner.
-func (r *CapacityView) Remove(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.owners, id)
+func (v *CapacityView) Remove(id string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	delete(v.owners, id)
 }
 
 // Reserve chooses the owner at which a task is expected to start first, and counts the task there until the owner's
 // next report. Owners for which exclude returns true are skipped.
-func (r *CapacityView) Reserve(
+func (v *CapacityView) Reserve(
 	backend string, priority int, expected time.Duration, exclude func(id string) bool,
 ) (string, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	best, capacity, _ := r.best(backend, priority, exclude)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	best, capacity, _ := v.best(backend, priority, exclude)
 	if capacity == nil {
 		return "", false
 	}
@@ -101,18 +101,18 @@
 
 // Wait returns the shortest expected wait of a task of that priority. It returns false if no owner has workers of the
 // back end.
-func (r *CapacityView) Wait(backend string, priority int) (time.Duration, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, capacity, wait := r.best(backend, priority, func(string) bool { return false })
+func (v *CapacityView) Wait(backend string, priority int) (time.Duration, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	_, capacity, wait := v.best(backend, priority, func(string) bool { return false })
 	return wait, capacity != nil
 }
 
 // OtherOwnerHasCapacity reports whether an owner other than id has free capacity.
-func (r *CapacityView) OtherOwnerHasCapacity(backend, id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for other, o := range r.owners {
+func (v *CapacityView) OtherOwnerHasCapacity(backend, id string) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for other, o := range v.owners {
 		if other == id || o.leaving {
 			continue
 		}
@@ -123,19 +123,21 @@
 	return false
 }
 
-// best returns the owner with the lowest sum of expected wait and message cost. It expects r.mu to be held.
-func (r *CapacityView) best(backend string, priority int, exclude func(id string) bool) (string, *BackendCapacity, time.Duration) {
+// best returns the owner with the lowest sum of expected wait and message cost. It expects v.mu to be held.
+func (v *CapacityView) best(
+	backend string, priority int, exclude func(id string) bool,
+) (string, *BackendCapacity, time.Duration) {
 	var bestID string
 	var bestCapacity *BackendCapacity
 	var bestWait time.Duration
 	bestCost := time.Duration(-1)
-	for id, o := range r.owners {
+	for id, o := range v.owners {
 		capacity := o.capacities[backend]
 		if o.leaving || capacity == nil || capacity.Slots == 0 || exclude(id) {
 			continue
 		}
 		wait := capacity.Wait(priority)
-		cost := wait + r.messageCost(id, o)
+		cost := wait + v.messageCost(id, o)
 		if bestCost < 0 || cost < bestCost || (cost == bestCost && preferred(capacity, bestCapacity, id, bestID)) {
 			bestID, bestCapacity, bestWait, bestCost = id, capacity, wait, cost
 		}
@@ -151,11 +153,11 @@
 	return aID < bID
 }
 
-func (r *CapacityView) messageCost(id string, o *ownerState) time.Duration {
+func (v *CapacityView) messageCost(id string, o *ownerState) time.Duration {
 	switch {
-	case id == r.self:
+	case id == v.self:
 		return 0
-	case o.domain == r.domain:
+	case o.domain == v.domain:
 		return sameDomainCost
 	default:
 		return otherDomainCost
--- a/zone/demandplanner.go
+++ b/zone/demandplanner.go
@@ -74,34 +74,34 @@
 
 // allocator expects p.mu to be held.
 func (p *DemandPlanner) allocator(name string) *allocatorState {
-	g, ok := p.allocators[name]
+	a, ok := p.allocators[name]
 	if !ok {
-		g = &allocatorState{name: name}
-		p.allocators[name] = g
+		a = &allocatorState{name: name}
+		p.allocators[name] = a
 	}
-	return g
+	return a
 }
 
 // RecordReply records the number of free slots that an allocator reported in reply to a demand.
 func (p *DemandPlanner) RecordReply(allocator string, free int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g, ok := p.allocators[allocator]; ok {
-		g.free, g.freeReportedAt = free, now
+	if a, ok := p.allocators[allocator]; ok {
+		a.free, a.freeReportedAt = free, now
 	}
 }
 
-// RecordUnsolicited records the number of free slots that an allocator reported other than in reply to a demand. While a
-// demand may still be in transit to the allocator, a report of zero free slots does not answer it and must not move
+// RecordUnsolicited records the number of free slots that an allocator reported other than in reply to a demand. While
+// a demand may still be in transit to the allocator, a report of zero free slots does not answer it and must not move
 // the demand elsewhere.
 func (p *DemandPlanner) RecordUnsolicited(allocator string, free int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g, ok := p.allocators[allocator]
-	if !ok || (free == 0 && g.requested.Sum() > 0 && now.Sub(g.requestedAt) < demandTransitTime) {
+	a, ok := p.allocators[allocator]
+	if !ok || (free == 0 && a.requested.Sum() > 0 && now.Sub(a.requestedAt) < demandTransitTime) {
 		return
 	}
-	g.free, g.freeReportedAt = free, now
+	a.free, a.freeReportedAt = free, now
 }
 
 // Scarce reports whether the allocators together are known to have hardly any free slots.
@@ -109,9 +109,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	free, slots := 0, 0
-	for _, g := range p.allocators {
-		free += g.freeHint(now)
-		slots += g.slots
+	for _, a := range p.allocators {
+		free += a.freeHint(now)
+		slots += a.slots
 	}
 	return float64(free) < scarceShare*float64(slots)
 }
@@ -120,18 +120,18 @@
 func (p *DemandPlanner) RecordGrant(allocator string, c Count, number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := p.allocator(allocator)
-	g.received = number
-	g.requested.Short = max(0, g.requested.Short-c.Short)
-	g.requested.Long = max(0, g.requested.Long-c.Long)
+	a := p.allocator(allocator)
+	a.received = number
+	a.requested.Short = max(0, a.requested.Short-c.Short)
+	a.requested.Long = max(0, a.requested.Long-c.Long)
 }
 
 // Received returns the number of the last grant from an allocator.
 func (p *DemandPlanner) Received(allocator string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g, ok := p.allocators[allocator]; ok {
-		return g.received
+	if a, ok := p.allocators[allocator]; ok {
+		return a.received
 	}
 	return 0
 }
@@ -140,8 +140,8 @@
 func (p *DemandPlanner) Reset(allocator string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g, ok := p.allocators[allocator]; ok {
-		*g = allocatorState{name: allocator, slots: g.slots}
+	if a, ok := p.allocators[allocator]; ok {
+		*a = allocatorState{name: allocator, slots: a.slots}
 	}
 }
 
@@ -156,11 +156,11 @@
 	order := p.order(now)
 	target := make([]Count, len(order))
 	left := need
-	p.retain(order, target, &left, func(g *allocatorState) bool {
-		return now.Sub(g.requestedAt) < demandReplyTime && g.freeHint(now) > 0
+	p.retain(order, target, &left, func(a *allocatorState) bool {
+		return now.Sub(a.requestedAt) < demandReplyTime && a.freeHint(now) > 0
 	})
-	for i, g := range order {
-		free := max(0, g.freeHint(now)-target[i].Sum())
+	for i, a := range order {
+		free := max(0, a.freeHint(now)-target[i].Sum())
 		s := min(left.Short, free)
 		l := min(left.Long, free-s)
 		target[i].Short += s
@@ -171,10 +171,10 @@
 	p.retain(order, target, &left, func(*allocatorState) bool { return true })
 	spreadBySlots(order, target, left)
 	var parts []DemandPart
-	for i, g := range order {
-		if g.needsUpdate(target[i], need, now, g.name == p.self) {
-			g.requested, g.requestedAt = target[i], now
-			parts = append(parts, DemandPart{Allocator: g.name, Tasks: target[i], Received: g.received})
+	for i, a := range order {
+		if a.needsUpdate(target[i], need, now, a.name == p.self) {
+			a.requested, a.requestedAt = target[i], now
+			parts = append(parts, DemandPart{Allocator: a.name, Tasks: target[i], Received: a.received})
 		}
 	}
 	return parts
@@ -182,8 +182,8 @@
 
 // hasDemand expects p.mu to be held.
 func (p *DemandPlanner) hasDemand() bool {
-	for _, g := range p.allocators {
-		if g.requested.Sum() > 0 {
+	for _, a := range p.allocators {
+		if a.requested.Sum() > 0 {
 			return true
 		}
 	}
@@ -193,8 +193,8 @@
 // order returns the allocators, the VM's own one first, then by descending free slots. It expects p.mu to be held.
 func (p *DemandPlanner) order(now time.Time) []*allocatorState {
 	order := make([]*allocatorState, 0, len(p.allocators))
-	for _, g := range p.allocators {
-		order = append(order, g)
+	for _, a := range p.allocators {
+		order = append(order, a)
 	}
 	sort.Slice(order, func(i, j int) bool {
 		x, y := order[i], order[j]
@@ -213,23 +213,23 @@
 }
 
 // freeHint is the number of slots that the allocator can probably grant immediately.
-func (g *allocatorState) freeHint(now time.Time) int {
-	if now.Sub(g.freeReportedAt) > freeHintTTL {
+func (a *allocatorState) freeHint(now time.Time) int {
+	if now.Sub(a.freeReportedAt) > freeHintTTL {
 		return 0
 	}
-	return g.free
+	return a.free
 }
 
 // retain leaves the parts of the demand at the allocators that hold them if kept returns true. Moving a part costs
 // messages, and a grant for it may be in transit.
 func (p *DemandPlanner) retain(order []*allocatorState, target []Count, left *Count, kept func(*allocatorState) bool) {
-	for i, g := range order {
-		if g.name == p.self || !kept(g) {
+	for i, a := range order {
+		if a.name == p.self || !kept(a) {
 			// The VM's own part is recomputed each time: if kept, it would grow beyond its share.
 			continue
 		}
-		s := min(left.Short, max(0, g.requested.Short-target[i].Short))
-		l := min(left.Long, max(0, g.requested.Long-target[i].Long))
+		s := min(left.Short, max(0, a.requested.Short-target[i].Short))
+		l := min(left.Long, max(0, a.requested.Long-target[i].Long))
 		target[i].Short += s
 		target[i].Long += l
 		left.Short -= s
@@ -240,37 +240,37 @@
 // spreadBySlots divides the remaining demand in proportion to the allocators' slots.
 func spreadBySlots(order []*allocatorState, target []Count, left Count) {
 	slots := 0
-	for _, g := range order {
-		slots += g.slots
+	for _, a := range order {
+		slots += a.slots
 	}
-	for i, g := range order {
-		if g.slots == 0 {
+	for i, a := range order {
+		if a.slots == 0 {
 			continue
 		}
 		// Rounding up and dividing the rest by the remaining slots assigns every task to exactly one allocator.
-		s := (left.Short*g.slots + slots - 1) / slots
-		l := (left.Long*g.slots + slots - 1) / slots
+		s := (left.Short*a.slots + slots - 1) / slots
+		l := (left.Long*a.slots + slots - 1) / slots
 		target[i].Short += s
 		target[i].Long += l
 		left.Short -= s
 		left.Long -= l
-		slots -= g.slots
+		slots -= a.slots
 	}
 }
 
 // needsUpdate reports whether a new demand has to be sent now.
-func (g *allocatorState) needsUpdate(target, need Count, now time.Time, own bool) bool {
-	since := now.Sub(g.requestedAt)
+func (a *allocatorState) needsUpdate(target, need Count, now time.Time, own bool) bool {
+	since := now.Sub(a.requestedAt)
 	switch {
 	case own:
-		return target != g.requested || (target.Sum() > 0 && since >= demandRetryInterval)
-	case target == g.requested:
+		return target != a.requested || (target.Sum() > 0 && since >= demandRetryInterval)
+	case target == a.requested:
 		return target.Sum() > 0 && since >= demandRefreshInterval
 	case need.Sum() == 0 || target.Sum() == 0:
 		return true
-	case target.Sum() > g.requested.Sum():
+	case target.Sum() > a.requested.Sum():
 		// An increase is sent immediately if the allocator has free slots or the demand has at least doubled.
-		return g.freeHint(now) > 0 || target.Sum() >= 2*g.requested.Sum() || since >= demandRetryInterval
+		return a.freeHint(now) > 0 || target.Sum() >= 2*a.requested.Sum() || since >= demandRetryInterval
 	default:
 		return since >= withdrawInterval
 	}
@@ -281,9 +281,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for name, g := range p.allocators {
+	for name, a := range p.allocators {
 		if name != p.self {
-			n += g.freeHint(now)
+			n += a.freeHint(now)
 		}
 	}
 	return n
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -97,8 +97,8 @@
 	return r
 }
 
-// ObserveMessage records a message from an incarnation. It returns accepted=false if the message must not be acknowledged, and
-// fresh=true for the first message of an incarnation.
+// ObserveMessage records a message from an incarnation. It returns accepted=false if the message must not be
+// acknowledged, and fresh=true for the first message of an incarnation.
 func (h *Homes) ObserveMessage(vm string, inc machine.Incarnation, now time.Time) (accepted, fresh bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,8 +115,8 @@
 	return true, fresh
 }
 
-// AddReported records that another member has received a message from an incarnation. Without it, a home that crashes would
-// be forgotten if all members that received its messages are replaced before its end is detected.
+// AddReported records that another member has received a message from an incarnation. Without it, a home that crashes
+// would be forgotten if all members that received its messages are replaced before its end is detected.
 func (h *Homes) AddReported(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,22 +187,22 @@
 	}
 }
 
-// MarkGone records that an incarnation has ended, as reported by another member.
+// MarkGone records that an incarnation is gone, as reported by another member.
 func (h *Homes) MarkGone(vm string, inc machine.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.end(h.record(inc, vm), now)
 }
 
-// SetSuccession records the successor of a home, as announced by the home. A complete succession is never reverted; before
-// that the home may choose another successor. It reports whether a complete succession is new.
+// SetSuccession records the successor of a home, as announced by the home. A complete succession is never reverted;
+// before that the home may choose another successor. It reports whether a complete succession is new.
 func (h *Homes) SetSuccession(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.setSuccession(s, now)
 }
 
-// SetReportedSuccession is Succeed for reports from other members, which may be older than what is known.
+// SetReportedSuccession is SetSuccession for reports from other members, which may be older than what is known.
 func (h *Homes) SetReportedSuccession(s Succession, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/zone/recall.go
+++ b/zone/recall.go
@@ -41,23 +41,23 @@
 }
 
 // Recalls returns the slots to recall for the short work that has waited longest while no slot is free.
-func (g *SlotAllocator) Recalls(now time.Time) []Recall {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.short.Len() > 0 || now.Sub(g.recall.at) < recallInterval {
+func (a *SlotAllocator) Recalls(now time.Time) []Recall {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.short.Len() > 0 || now.Sub(a.recall.at) < recallInterval {
 		return nil
 	}
-	name, m := g.longestWaiting(shortClass)
+	name, m := a.longestWaiting(shortClass)
 	if m == nil {
 		return nil
 	}
 	wait := max(0, now.Sub(m.shortSince))
-	holders := g.holders(name, wait, now)
-	if len(holders) == 0 || !g.gapGrows(name, holders[0], now.Sub(m.shortSince)) {
+	holders := a.holders(name, wait, now)
+	if len(holders) == 0 || !a.gapGrows(name, holders[0], now.Sub(m.shortSince)) {
 		return nil
 	}
-	g.recall.at = now
-	budget := min(m.need.Short, max(1, int(recallShare*float64(g.slots)))) - g.outstanding(now)
+	a.recall.at = now
+	budget := min(m.need.Short, max(1, int(recallShare*float64(a.slots)))) - a.outstanding(now)
 	var out []Recall
 	for _, h := range holders {
 		n := min(budget, h.slots)
@@ -65,7 +65,7 @@
 			break
 		}
 		budget -= n
-		grantee := g.member(h.name)
+		grantee := a.member(h.name)
 		grantee.recalled += n
 		grantee.recalledAt = now
 		out = append(out, Recall{Member: h.name, Slots: n, Wait: wait})
@@ -80,17 +80,17 @@
 }
 
 // holders returns the members that may have to return slots for the demander, ordered by the wait of their oldest
-// task, shortest first. It expects g.mu to be held.
-func (g *SlotAllocator) holders(demander string, wait time.Duration, now time.Time) []holder {
+// task, shortest first. It expects a.mu to be held.
+func (a *SlotAllocator) holders(demander string, wait time.Duration, now time.Time) []holder {
 	slots := make(map[string]int)
-	for _, w := range g.workers {
+	for _, w := range a.workers {
 		for n, h := range w.held {
 			slots[n] += h.Short
 		}
 	}
 	var out []holder
 	for n, held := range slots {
-		m := g.member(n)
+		m := a.member(n)
 		own := time.Duration(0)
 		if !m.backlog.IsZero() {
 			own = max(1, now.Sub(m.backlog))
@@ -111,18 +111,18 @@
 }
 
 // gapGrows reports whether the difference between the waits still grows. While it shrinks, the slots already recalled
-// suffice, and recalling more would reverse the difference. It expects g.mu to be held.
-func (g *SlotAllocator) gapGrows(demander string, youngest holder, wait time.Duration) bool {
+// suffice, and recalling more would reverse the difference. It expects a.mu to be held.
+func (a *SlotAllocator) gapGrows(demander string, youngest holder, wait time.Duration) bool {
 	gap := wait - youngest.wait
-	before, same := g.recall.gap, g.recall.demander == demander
-	g.recall.demander, g.recall.gap = demander, gap
+	before, same := a.recall.gap, a.recall.demander == demander
+	a.recall.demander, a.recall.gap = demander, gap
 	return youngest.wait == 0 || !same || gap >= before
 }
 
-// outstanding counts the recalled slots that may still be returned. It expects g.mu to be held.
-func (g *SlotAllocator) outstanding(now time.Time) int {
+// outstanding counts the recalled slots that may still be returned. It expects a.mu to be held.
+func (a *SlotAllocator) outstanding(now time.Time) int {
 	n := 0
-	for _, m := range g.members {
+	for _, m := range a.members {
 		if now.Sub(m.recalledAt) > recallTimeout {
 			m.recalled = 0
 		}
