--- a/backend/attribution.go
+++ b/backend/attribution.go
@@ -89,21 +89,21 @@
 	a.streak++
 	before := len(a.streakWorkers)
 	a.streakWorkers[worker] = true
-	b := FailureCause{
+	cause := FailureCause{
 		SucceedsElsewhere: elsewhere.ok >= provenSuccesses,
 		Expected:          elsewhere.failed / max(1, elsewhere.ok+elsewhere.failed),
 	}
-	a.failJob(worker, job, &b)
-	if len(a.streakWorkers) >= failingWorkers && !b.SucceedsElsewhere {
-		b.FailsElsewhere = true
+	a.failJob(worker, job, &cause)
+	if len(a.streakWorkers) >= failingWorkers && !cause.SucceedsElsewhere {
+		cause.FailsElsewhere = true
 	}
-	if b.Retract == nil && before < failingWorkers && b.FailsElsewhere {
-		b.Retract = make(map[string]int)
+	if cause.Retract == nil && before < failingWorkers && cause.FailsElsewhere {
+		cause.Retract = make(map[string]int)
 		for w := range a.streakWorkers {
-			b.Retract[w] = 0
+			cause.Retract[w] = 0
 		}
 	}
-	return b
+	return cause
 }
 
 // decay halves the counts for each half-life that has passed, and initialises the maps on first use.
@@ -144,7 +144,7 @@
 }
 
 // failJob records a failure of a job and detects jobs whose tasks fail on every worker.
-func (a *Attribution) failJob(worker string, job uint64, b *FailureCause) {
+func (a *Attribution) failJob(worker string, job uint64, cause *FailureCause) {
 	t, ok := a.jobs[job]
 	if !ok {
 		t = &jobFailures{failures: make(map[string]int)}
@@ -156,7 +156,7 @@
 		}
 	}
 	if t.poisoned {
-		b.SucceedsElsewhere = false
+		cause.SucceedsElsewhere = false
 		return
 	}
 	if _, known := t.failures[worker]; !known {
@@ -164,11 +164,11 @@
 	}
 	if !t.succeeded && len(t.failures) >= poisonWorkers {
 		t.poisoned = true
-		b.SucceedsElsewhere = false
-		b.Retract = t.failures
+		cause.SucceedsElsewhere = false
+		cause.Retract = t.failures
 		return
 	}
-	if b.SucceedsElsewhere {
+	if cause.SucceedsElsewhere {
 		t.failures[worker]++
 	}
 }
--- a/backend/kind_test.go
+++ b/backend/kind_test.go
@@ -106,11 +106,11 @@
 		}
 		held := 0
 		for _, w := range []string{"a", "a", "b", "c", "a", "b"} {
-			b := a.Observe(w, 100, true, epoch)
-			if b.SucceedsElsewhere {
+			cause := a.Observe(w, 100, true, epoch)
+			if cause.SucceedsElsewhere {
 				held++
 			}
-			for _, n := range b.Retract {
+			for _, n := range cause.Retract {
 				held -= n
 			}
 		}
@@ -126,9 +126,9 @@
 		now := epoch
 		for job := range uint64(300) {
 			now = now.Add(time.Duration(r.IntN(3000)) * time.Millisecond)
-			b := a.Observe(string(rune('a'+r.IntN(20))), job, r.IntN(2) == 0, now)
-			require.GreaterOrEqual(t, b.Expected, 0.0)
-			require.LessOrEqual(t, b.Expected, 1.0)
+			cause := a.Observe(string(rune('a'+r.IntN(20))), job, r.IntN(2) == 0, now)
+			require.GreaterOrEqual(t, cause.Expected, 0.0)
+			require.LessOrEqual(t, cause.Expected, 1.0)
 		}
 		require.LessOrEqual(t, len(a.jobs), maxFailedJobs)
 		a.Observe("z", 999, false, now.Add(time.Hour))
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -58,16 +58,16 @@
 	}, now)
 }
 
-// updateHealth records evidence about a worker and reports a change of its health, so that the slot allocators learn of
-// it at once.
-func (d *Dispatcher) updateHealth(w *machine.Worker, e machine.StartOutcome, now time.Time) {
-	if w.Observe(e, now) {
+// updateHealth records the outcome of a start on a worker and reports a change of its health, so that the slot
+// allocators learn of it at once.
+func (d *Dispatcher) updateHealth(w *machine.Worker, o machine.StartOutcome, now time.Time) {
+	if w.Observe(o, now) {
 		d.healthChanged(w, now)
 	}
 }
 
-func (d *Dispatcher) retract(b backend.FailureCause, now time.Time) {
-	for id, failures := range b.Retract {
+func (d *Dispatcher) retract(cause backend.FailureCause, now time.Time) {
+	for id, failures := range cause.Retract {
 		if w, ok := d.o.Fleet.Get(machine.WorkerID(id)); ok && w.Retract(failures, now) {
 			d.healthChanged(w, now)
 		}
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -211,8 +211,7 @@
 		r := b.TaskReport
 		d.home.Report(batch.PoolRef{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
 			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(),
-			MayHaveStarted: r.GetRan(),
-			Token:          r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
+			MayHaveStarted: r.GetRan(), Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
 		})
 	case *api.PeerMessage_WorkerTakeover:
 		t := b.WorkerTakeover
--- a/link/peer.go
+++ b/link/peer.go
@@ -45,7 +45,7 @@
 	Domain uint32
 }
 
-// PeerOptions configures peer links. The callbacks from Sent to Refused may be nil.
+// PeerOptions configures peer links. The callbacks from OnSent to OnRefused may be nil.
 type PeerOptions struct {
 	Self    Identity
 	Dial    func(ctx context.Context, address string) (net.Conn, error)
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -337,8 +337,7 @@
 // incarnation; the others have ended. p.mu is held.
 func (p *Pool) handleRestart(t *ownedHost, reply link.PollReply, now time.Time) {
 	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.StartTime,
-		"last_born", t.startTime,
-		"runs", len(t.runs), "running", len(reply.Running))
+		"last_born", t.startTime, "runs", len(t.runs), "running", len(reply.Running))
 	t.startTime = reply.StartTime
 	t.host.Restarted(reply.Clock, now, p.o.Lease)
 }
--- a/pool/run.go
+++ b/pool/run.go
@@ -121,8 +121,7 @@
 	p.detach(r)
 	r.state, r.endedAt = runFinal, now
 	r.outcome = contract.RunReport{Key: r.order.Key, State: state, Worker: worker, Token: r.token,
-		MayHaveStarted: r.mayHaveRun,
-		RunTime:        took}
+		MayHaveStarted: r.mayHaveRun, RunTime: took}
 	fx.report(r)
 	p.o.Logger.Info("run ended", "task", r.order.Key.String(), "state", state.String(), "worker", worker,
 		"run_time", took, "home", r.home)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -215,8 +215,7 @@
 func (s *Soak) putEntry(w *worker) {
 	s.store.Put("keyed.servers", w.id, standin.EntryDocument(machine.Listing{
 		Worker: w.id, Backend: service, Address: w.relay.Address(), Zone: w.domain, StartTime: w.host.StartTime(),
-		Capacity: capacity,
-		Labels:   []string{"a", "r1"},
+		Capacity: capacity, Labels: []string{"a", "r1"},
 	}))
 }
 
--- a/zone/allocator_test.go
+++ b/zone/allocator_test.go
@@ -174,8 +174,8 @@
 	offers := testOffers(1, 8)
 	need := Need{Tasks: Count{Short: 20}}
 	allocator := NewSlotAllocator(testSelf, 1)
-	own := []Held{{Worker: "w0", Slots: Count{Short: 1}}}
-	require.True(t, allocator.Assign(offers, own, []string{"entry-1", "entry-2"}, now))
+	require.True(t,
+		allocator.Assign(offers, []Held{{Worker: "w0", Slots: Count{Short: 1}}}, []string{"entry-1", "entry-2"}, now))
 	require.Empty(t, allocator.Demand(testSelf, need, now))
 	require.Empty(t, allocator.Report("entry-1", []Held{{Worker: "w0", Slots: Count{Short: 2}}}, 0, true, now))
 	require.Empty(t, allocator.Tick(now.Add(TakeoverWait-time.Millisecond)))
