--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -65,23 +65,23 @@
 
 func (c *hostCalls) CloseIdleConnections(link.HostAddress) {}
 
-// fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job.
+// fixture is a pool with workers. durations holds the run times of tasks, sizes their CPU need, both by job.
 type fixture struct {
-	pool     *Pool
-	calls    *hostCalls
-	list     []machine.Listing
-	observer *startObserver
-	takes    map[string]time.Duration
-	sizes    map[string]int
-	mu       sync.Mutex
-	reports  map[contract.RunKey]contract.RunReport
+	pool      *Pool
+	calls     *hostCalls
+	list      []machine.Listing
+	observer  *startObserver
+	durations map[string]time.Duration
+	sizes     map[string]int
+	mu        sync.Mutex
+	reports   map[contract.RunKey]contract.RunReport
 }
 
 func newFixture(workers int) *fixture {
 	b := &fixture{
 		calls: &hostCalls{hosts: make(map[string]*standin.RunHost)}, observer: &startObserver{workers: make(map[string]string)},
-		takes: make(map[string]time.Duration),
-		sizes: make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
+		durations: make(map[string]time.Duration),
+		sizes:     make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
@@ -89,7 +89,7 @@
 		h := standin.NewRunHost(standin.RunHostOptions{
 			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
 			Work: func(k contract.RunKey) standin.RunPlan {
-				return standin.RunPlan{Duration: b.takes[k.Batch], Stalls: b.takes[k.Batch] == 0}
+				return standin.RunPlan{Duration: b.durations[k.Batch], Stalls: b.durations[k.Batch] == 0}
 			},
 			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.sizes[k.Batch]} },
 		})
@@ -115,8 +115,8 @@
 // order orders one task of a job.
 func (b *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
 	b.sizes[job] = cpu
-	if _, ok := b.takes[job]; !ok {
-		b.takes[job] = 100 * time.Millisecond
+	if _, ok := b.durations[job]; !ok {
+		b.durations[job] = 100 * time.Millisecond
 	}
 	key := contract.RunKey{Batch: job, Run: 1}
 	now := time.Now()
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["stalls"] = 0
+		b.durations["stalls"] = 0
 		key := b.order("stalls", 1000, 0, time.Second, 5*time.Second)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
@@ -208,7 +208,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["gone"], b.takes["silent"] = 10*time.Second, 10*time.Second
+		b.durations["gone"], b.durations["silent"] = 10*time.Second, 10*time.Second
 		gone := b.order("gone", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		b.pool.HomeUnreachable(testHome)
@@ -235,7 +235,7 @@
 		b := newFixture(1)
 		defer b.pool.Close()
 		b.pool.o.Calls = delayedCalls{b.calls}
-		b.takes["a"] = 5 * time.Second
+		b.durations["a"] = 5 * time.Second
 		b.calls.hosts["w0"].SetLosingAnswers(true)
 		start := time.Now()
 		key := b.order("a", 1000, 0, time.Second, 20*time.Second)
@@ -258,7 +258,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1)
 		defer b.pool.Close()
-		b.takes["lost"], b.takes["kept"] = 5*time.Second, 5*time.Second
+		b.durations["lost"], b.durations["kept"] = 5*time.Second, 5*time.Second
 		lost := b.order("lost", 500, 0, time.Second, 10*time.Second)
 		kept := b.order("kept", 500, 0, time.Second, 10*time.Second)
 		b.calls.dropStops = true
@@ -283,7 +283,7 @@
 		time.Sleep(time.Second)
 		b.calls.hosts["w0"].Restart()
 		time.Sleep(time.Second)
-		b.takes["a"] = 800 * time.Millisecond
+		b.durations["a"] = 800 * time.Millisecond
 		key := b.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
@@ -337,7 +337,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(2)
 		defer b.pool.Close()
-		b.sizes["spread"], b.takes["spread"] = 500, time.Second
+		b.sizes["spread"], b.durations["spread"] = 500, time.Second
 		now := time.Now()
 		for i := range 4 {
 			b.pool.Order(testHome, contract.TaskOrder{
@@ -361,7 +361,7 @@
 		defer b.pool.Close()
 		for i := range jobs {
 			job := fmt.Sprintf("job-%d", i)
-			b.sizes[job], b.takes[job] = 1000, 100*time.Millisecond
+			b.sizes[job], b.durations[job] = 1000, 100*time.Millisecond
 			now := time.Now()
 			var keys []contract.RunKey
 			for n := range tasks {
