--- a/batch/home_test.go
+++ b/batch/home_test.go
@@ -34,8 +34,8 @@
 func (r *recorder) Acknowledge(_ PoolRef, keys []contract.RunKey) { r.acks = append(r.acks, keys...) }
 
 func newTestHome() (*Home, *recorder) {
-	capacity := zone.NewRooms("self/1", "z")
-	capacity.Update(testOwner, "z", false, map[string]*zone.BackendRoom{"s": {Free: 100, Slots: 100}})
+	capacity := zone.NewCapacityView("self/1", "z")
+	capacity.Update(testOwner, "z", false, map[string]*zone.BackendCapacity{"s": {Free: 100, Slots: 100}})
 	out := &recorder{}
 	return New(Options{
 		Owners: out, Capacity: capacity, Now: time.Now, Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
@@ -67,8 +67,10 @@
 	return answer
 }
 
-func reportRun(h *Home, key contract.RunKey, state contract.RunState, ran bool) {
-	h.Report(PoolRef{Owner: testOwner, Backend: "s"}, contract.RunReport{Key: key, State: state, Ran: ran, Token: 1})
+func reportRun(h *Home, key contract.RunKey, state contract.RunState, mayHaveStarted bool) {
+	h.Report(PoolRef{Owner: testOwner, Backend: "s"}, contract.RunReport{
+		Key: key, State: state, MayHaveStarted: mayHaveStarted, Token: 1,
+	})
 }
 
 // Guards against refusing a job of which a run may have started: its owner became unreachable, and the lease of the
--- a/command/control_bench_test.go
+++ b/command/control_bench_test.go
@@ -163,7 +163,7 @@
 		require.NoError(h.t, err)
 		id := fmt.Sprintf("worker-%d", n)
 		w := standin.NewWorker(l, standin.WorkerOptions{
-			ID: machine.WorkerID(id), Slots: controlSlots, Work: standin.DeploymentWork,
+			ID: machine.WorkerID(id), Slots: controlSlots, Work: standin.DemoWork,
 		})
 		env.workers = append(env.workers, w)
 		env.platform.SetVM(platform.VM{
@@ -196,7 +196,7 @@
 		ID: id, Kind: platform.KindEntry, Domain: domain, PeerAddress: vm.PeerAddress, CallerAddress: vm.CallerAddress,
 	})
 	d, err := entry.New(entry.Options{
-		VM: vm, Domain: domain, Services: services, Log: logs, List: list, Callers: callers, Peers: peers,
+		VM: vm, Domain: domain, Services: services, Log: logs, List: list, CallerListener: callers, PeerListener: peers,
 		Connections: controlSlots, Logger: slog.New(slog.DiscardHandler),
 	})
 	require.NoError(h.t, err)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -36,12 +36,12 @@
 
 // localBroker grants the slots of all workers to this entry VM.
 type localBroker struct {
-	allocator  *zone.Granter
+	allocator  *zone.SlotAllocator
 	dispatcher *dispatch.Dispatcher
 }
 
-func (b *localBroker) Granter(machine.WorkerID) string { return benchSelf }
-func (b *localBroker) Scarce(string) bool              { return false }
+func (b *localBroker) Allocator(machine.WorkerID) string { return benchSelf }
+func (b *localBroker) Scarce(string) bool                { return false }
 
 func (b *localBroker) Demand(d contract.SlotDemand) {
 	b.deliver(b.allocator.Demand(benchSelf, zone.Need{Tasks: zone.Count{Short: d.Short, Long: d.Long}}, time.Now()))
@@ -88,7 +88,7 @@
 // newBench builds a home node with the given workers. With zero slots the node cannot start any task.
 func newBench(b *testing.B, fleet *machine.Fleet, home machine.Incarnation, starter dispatch.Starter, slots int) *bench {
 	table := contract.NewJobTable(1, home)
-	broker := &localBroker{allocator: zone.NewGranter(benchSelf, 1)}
+	broker := &localBroker{allocator: zone.NewSlotAllocator(benchSelf, 1)}
 	d := dispatch.New(dispatch.Options{
 		Table: table, Starter: starter, Broker: broker, Self: benchSelf, Fleet: fleet, Now: time.Now,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -23,7 +23,7 @@
 	}
 	if r.Outcome == contract.OutcomeUnknown {
 		// A worker that stops answering is lost or paused, which is never the fault of a kind.
-		d.updateHealth(w, machine.Evidence{Failed: true, Proven: true}, now)
+		d.updateHealth(w, machine.StartOutcome{Failed: true, KindSucceedsElsewhere: true}, now)
 		return
 	}
 	kind := a.Item.Kind
@@ -36,8 +36,9 @@
 	failed := r.Outcome != contract.OutcomeDone
 	cause := kind.ObserveOutcome(string(a.Slot.Worker), a.Item.Task.Job.Seq, failed, now)
 	d.retract(cause, now)
-	d.updateHealth(w, machine.Evidence{
-		Failed: failed, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
+	d.updateHealth(w, machine.StartOutcome{
+		Failed: failed, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere,
+		Expected: cause.Expected,
 	}, now)
 	if failed && kind.FailsEverywhere(d.workersOf(w.Spec().Service), now) {
 		d.failWaiting(a, fmt.Sprintf("request kind %s fails on every worker", kind.Spec().Name), now)
@@ -45,27 +46,28 @@
 }
 
 // observeRejection updates the health of a worker that has rejected a start.
-func (d *Dispatcher) observeRejection(sched *Lane, a Assignment, now time.Time) {
+func (d *Dispatcher) observeRejection(sched *Scheduler, a Assignment, now time.Time) {
 	w, ok := d.o.Fleet.Get(a.Slot.Worker)
 	if !ok {
 		return
 	}
 	cause := sched.observeStart(a, true, now)
-	d.updateHealth(w, machine.Evidence{
-		Rejected: true, Proven: cause.Proven, Explained: cause.Explained, Expected: cause.Expected,
+	d.updateHealth(w, machine.StartOutcome{
+		Rejected: true, KindSucceedsElsewhere: cause.SucceedsElsewhere, KindFailsElsewhere: cause.FailsElsewhere,
+		Expected: cause.Expected,
 	}, now)
 }
 
-// updateHealth records evidence about a worker and reports a change of its health, so that the slot allocators learn of
-// it at once.
-func (d *Dispatcher) updateHealth(w *machine.Worker, e machine.Evidence, now time.Time) {
-	if w.Observe(e, now) {
+// updateHealth records the outcome of a start on a worker and reports a change of its health, so that the slot
+// allocators learn of it at once.
+func (d *Dispatcher) updateHealth(w *machine.Worker, o machine.StartOutcome, now time.Time) {
+	if w.Observe(o, now) {
 		d.healthChanged(w, now)
 	}
 }
 
-func (d *Dispatcher) retract(b backend.FailureCause, now time.Time) {
-	for id, failures := range b.Retract {
+func (d *Dispatcher) retract(cause backend.FailureCause, now time.Time) {
+	for id, failures := range cause.Retract {
 		if w, ok := d.o.Fleet.Get(machine.WorkerID(id)); ok && w.Retract(failures, now) {
 			d.healthChanged(w, now)
 		}
--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -82,7 +82,7 @@
 	o          Options
 	self       string
 	members    *Members
-	capacity   *zone.Rooms
+	capacity   *zone.CapacityView
 	home       *batch.Home
 	server     *link.PeerServer
 	workers    *workers
@@ -108,7 +108,7 @@
 	// sentNear and sentFar are the times of the last statuses to the own failure domain and to all members.
 	sentNear       time.Time
 	sentFar        time.Time
-	lastCapacities map[string]zone.BackendRoom
+	lastCapacities map[string]zone.BackendCapacity
 	// lastPresent is when a member was last seen, by failure domain.
 	lastPresent map[string]time.Time
 	assignedAt  time.Time
@@ -118,7 +118,7 @@
 func New(o Options) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
-		o: o, self: o.Self.ID(), capacity: zone.NewRooms(o.Self.ID(), o.Self.Domain), cancel: cancel, started: o.Now(),
+		o: o, self: o.Self.ID(), capacity: zone.NewCapacityView(o.Self.ID(), o.Self.Domain), cancel: cancel, started: o.Now(),
 		firstTimestamp: rand.Uint64N(timestampRange),
 		pools:          make(map[string]*pool.Pool), lastPresent: make(map[string]time.Time), workers: newWorkers(o.Logger),
 	}
@@ -152,9 +152,10 @@
 
 func (d *Daemon) dialPeer(vm, address string) *link.Peer {
 	return link.NewPeer(vm, address, link.PeerOptions{
-		Self:    link.Identity{VM: machine.EntryVM{ID: d.o.Self.VM, Incarnation: d.o.Self.Incarnation}},
-		Stamped: func(vm string, timestamp uint64) { d.members.RecordTimestamp(vm, timestamp, d.o.Now()) },
-		Dial:    d.o.Dial, Lamport: func() uint64 { return 0 }, Now: d.o.Now, Logger: d.o.Logger, Metrics: d.o.Metrics,
+		Self:              link.Identity{VM: machine.EntryVM{ID: d.o.Self.VM, Incarnation: d.o.Self.Incarnation}},
+		OnEchoedTimestamp: func(vm string, timestamp uint64) { d.members.RecordTimestamp(vm, timestamp, d.o.Now()) },
+		Dial:              d.o.Dial,
+		Lamport:           func() uint64 { return 0 }, Now: d.o.Now, Logger: d.o.Logger, Metrics: d.o.Metrics,
 	})
 }
 
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -80,21 +80,21 @@
 	}
 	d.members.Send(home, &api.PeerMessage{Body: &api.PeerMessage_TaskReport{TaskReport: &api.TaskReport{
 		Key: encodeKey(r.Key), State: uint32(r.State), Worker: r.Worker, Backend: backend,
-		RunMs: clampMillis(r.RunTime), Ran: r.Ran, Token: r.Token,
+		RunMs: clampMillis(r.RunTime), Ran: r.MayHaveStarted, Token: r.Token,
 	}}})
 }
 
 // takeover announces to all homes that this process has become the owner of a worker.
 func (d *Daemon) takeover(t contract.Takeover) {
 	d.members.Broadcast(&api.PeerMessage{Body: &api.PeerMessage_WorkerTakeover{WorkerTakeover: &api.WorkerTakeover{
-		Worker: t.Worker, Born: t.Born, Token: t.Token, Runs: encodeKeys(t.Runs),
+		Worker: t.Worker, Born: t.StartTime, Token: t.Token, Runs: encodeKeys(t.Runs),
 	}}})
 	d.home.Takeover(d.self, t)
 }
 
 // sendStatus reports the free capacity of the own workers to the other members.
 func (d *Daemon) sendStatus(now time.Time) {
-	capacities := make(map[string]zone.BackendRoom)
+	capacities := make(map[string]zone.BackendCapacity)
 	for backend, p := range d.allPools() {
 		capacities[backend] = p.FreeCapacity()
 	}
@@ -149,8 +149,8 @@
 	return d.started.Add(time.Duration(timestamp-d.firstTimestamp) * time.Millisecond)
 }
 
-func (d *Daemon) updateCapacity(id, domain string, ownsNothing bool, capacities map[string]zone.BackendRoom) {
-	view := make(map[string]*zone.BackendRoom, len(capacities))
+func (d *Daemon) updateCapacity(id, domain string, ownsNothing bool, capacities map[string]zone.BackendCapacity) {
+	view := make(map[string]*zone.BackendCapacity, len(capacities))
 	for backend, capacity := range capacities {
 		view[backend] = &capacity
 	}
@@ -158,7 +158,7 @@
 }
 
 // handle processes an envelope of another member.
-func (d *Daemon) handle(env *api.Envelope) link.Reception {
+func (d *Daemon) handle(env *api.Envelope) link.HandlerResult {
 	vm := env.GetFromVm()
 	id := machine.Member{VM: vm, Incarnation: machine.Incarnation(env.GetFromIncarnation())}.ID()
 	for _, m := range env.GetMessages() {
@@ -210,13 +210,13 @@
 	case *api.PeerMessage_TaskReport:
 		r := b.TaskReport
 		d.home.Report(batch.PoolRef{Owner: id, Backend: r.GetBackend()}, contract.RunReport{
-			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(), Ran: r.GetRan(),
-			Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
+			Key: decodeKey(r.GetKey()), State: contract.RunState(r.GetState()), Worker: r.GetWorker(),
+			MayHaveStarted: r.GetRan(), Token: r.GetToken(), RunTime: time.Duration(r.GetRunMs()) * time.Millisecond,
 		})
 	case *api.PeerMessage_WorkerTakeover:
 		t := b.WorkerTakeover
 		d.home.Takeover(id, contract.Takeover{
-			Worker: t.GetWorker(), Born: t.GetBorn(), Token: t.GetToken(), Runs: decodeKeys(t.GetRuns()),
+			Worker: t.GetWorker(), StartTime: t.GetBorn(), Token: t.GetToken(), Runs: decodeKeys(t.GetRuns()),
 		})
 	default:
 		d.handleClusterState(id, vm, m)
@@ -251,7 +251,7 @@
 }
 
 func (d *Daemon) handleStatus(id, vm string, s *api.PoolStatus) {
-	capacities := make(map[string]zone.BackendRoom, len(s.GetRooms()))
+	capacities := make(map[string]zone.BackendCapacity, len(s.GetRooms()))
 	for _, r := range s.GetRooms() {
 		capacities[r.GetBackend()] = decodeCapacity(r)
 	}
@@ -278,16 +278,16 @@
 	}
 }
 
-func encodeCapacity(backend string, r zone.BackendRoom) *api.BackendRoom {
-	m := &api.BackendRoom{Backend: backend, FreeSlots: uint32(r.Free), Slots: uint32(r.Slots)}
-	for _, w := range r.Waiting {
+func encodeCapacity(backend string, c zone.BackendCapacity) *api.BackendRoom {
+	m := &api.BackendRoom{Backend: backend, FreeSlots: uint32(c.Free), Slots: uint32(c.Slots)}
+	for _, w := range c.Waiting {
 		m.WaitingMs = append(m.WaitingMs, clampMillis(w))
 	}
 	return m
 }
 
-func decodeCapacity(m *api.BackendRoom) zone.BackendRoom {
-	r := zone.BackendRoom{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
+func decodeCapacity(m *api.BackendRoom) zone.BackendCapacity {
+	r := zone.BackendCapacity{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
 	for i, w := range m.GetWaitingMs() {
 		if i < len(r.Waiting) {
 			r.Waiting[i] = time.Duration(w) * time.Millisecond
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -14,14 +14,14 @@
 )
 
 // receive handles the envelopes of one link, in order.
-func (d *Daemon) receive(env *api.Envelope) link.Reception {
+func (d *Daemon) receive(env *api.Envelope) link.HandlerResult {
 	d.checkPause()
 	d.clock.Observe(env.GetLamport())
 	inc := machine.Incarnation(env.GetFromIncarnation())
 	vm := env.GetFromVm()
 	now := d.o.Now()
 	if zone.DomainID(env.GetFromDomain()) == d.o.Domain {
-		accepted, fresh := d.homes.Heard(vm, inc, now)
+		accepted, fresh := d.homes.ObserveMessage(vm, inc, now)
 		if !accepted {
 			return d.reject(inc)
 		}
@@ -38,7 +38,7 @@
 			d.quotas.setSeeded(h.GetQuotaSeeded())
 		}
 	}
-	d.applyChanges(d.domain.Heard(vm, inc, leaving, now))
+	d.applyChanges(d.domain.ObserveMessage(vm, inc, leaving, now))
 	for _, m := range env.GetMessages() {
 		if !d.slots.handleSlots(vm, inc, m) && !d.quotas.handleMessage(vm, inc, m) {
 			d.handle(vm, m)
@@ -47,7 +47,7 @@
 	return link.Accepted
 }
 
-func (d *Daemon) reject(inc machine.Incarnation) link.Reception {
+func (d *Daemon) reject(inc machine.Incarnation) link.HandlerResult {
 	if d.homes.Refuses(inc) {
 		return link.Refused
 	}
--- a/entry/pause.go
+++ b/entry/pause.go
@@ -48,12 +48,12 @@
 	}
 	d.timeline.Record(timeline.Event{Kind: timeline.ProcessPaused})
 	d.o.Logger.Warn("process was paused; dropping idle grants", "vm", d.o.VM.ID)
-	d.dispatcher.DropIdle()
+	d.dispatcher.ReturnIdle()
 	d.pauseDetector.grantsDropped()
 }
 
-// fenceAfterPause fences the incarnation after a pause of SilenceLimit or longer: the members that counted it as gone may have
-// been replaced in the meantime, so that no remaining member refuses it.
+// fenceAfterPause fences the incarnation after a pause of SilenceLimit or longer: the members that counted it as gone
+// may have been replaced in the meantime, so that no remaining member refuses it.
 func (d *Daemon) fenceAfterPause(paused time.Duration) {
 	if paused >= zone.SilenceLimit && len(d.domain.Listed()) > 0 {
 		d.fence("the process was paused for " + paused.String())
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -320,7 +320,7 @@
 		s.mu.Unlock()
 		return
 	}
-	n := customer.QuotaToGive(q.need(k, e), theirs)
+	n := customer.TransferAmount(q.need(k, e), theirs)
 	t, given := e.share.Give(to, n)
 	if given {
 		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
@@ -346,7 +346,7 @@
 	taken := false
 	if ok && m.GetAcknowledged() {
 		e.share.Acknowledge(t)
-	} else if ok && e.share.Take(t) {
+	} else if ok && e.share.Receive(t) {
 		taken = true
 		q.d.dispatcher.SetQuotaShare(k, e.share.Held())
 	}
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -16,18 +16,18 @@
 	for _, vm := range s.d.domain.Live() {
 		live[vm.ID] = true
 	}
-	for _, sched := range s.d.dispatcher.Lanes() {
+	for _, sched := range s.d.dispatcher.Schedulers() {
 		st := s.service(sched.Service().Name())
 		s.reportHoldings(st, sched, now)
 		// An allocator without contact may have let the grants expire.
-		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Granter(w)] })
+		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Allocator(w)] })
 		s.checkInvariants(st, sched)
 	}
 }
 
 // reportHoldings reports to each allocator the slots held on its workers. An allocator whose slots are no longer held
 // receives one last report.
-func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Lane, now time.Time) {
+func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Scheduler, now time.Time) {
 	self := s.d.o.VM.ID
 	byAllocator := make(map[string][]zone.Held)
 	st.mu.Lock()
@@ -40,7 +40,7 @@
 		received[name] = st.planner.Received(name)
 	}
 	for _, h := range zoneHeld(sched.Held()) {
-		name := s.Granter(h.Worker)
+		name := s.Allocator(h.Worker)
 		if name == "" {
 			continue
 		}
@@ -70,7 +70,7 @@
 }
 
 // checkInvariants counts the invariant checks of a service.
-func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Lane) {
+func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Scheduler) {
 	c := st.allocator.TakeChecks()
 	c.Made++
 	if !sched.Check() {
@@ -106,15 +106,15 @@
 		s.memberGone(c.VM.ID)
 	case zone.MemberSuspect:
 		for _, st := range s.all() {
-			st.allocator.Suspend(c.VM.ID)
+			st.allocator.CancelDemand(c.VM.ID)
 		}
 	case zone.MemberLive:
-		s.rejoin(c.VM.ID)
+		s.awaitReport(c.VM.ID)
 	}
 }
 
-// rejoin requests the holdings of a member that responds again, unless its process is new.
-func (s *slotBroker) rejoin(vm string) {
+// awaitReport requests the holdings of a member that responds again, unless its process is new.
+func (s *slotBroker) awaitReport(vm string) {
 	s.mu.Lock()
 	process := s.incarnations[vm]
 	fresh := process.fresh
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, st := range s.all() {
-		st.allocator.Rejoin(vm, s.d.o.Now())
+		st.allocator.AwaitReport(vm, s.d.o.Now())
 		s.requestHoldings(st, vm)
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -122,7 +122,7 @@
 		if l.Draining && !t.host.Listing.Draining {
 			p.o.Logger.Info("worker is draining; starting no new tasks", "worker", l.Worker, "runs", t.host.Runs())
 		}
-		if l.Born != t.host.Listing.Born {
+		if l.StartTime != t.host.Listing.StartTime {
 			t.wake()
 		}
 		t.host.Listing = l
@@ -190,7 +190,7 @@
 	delete(p.runs, r.order.Key)
 	p.barredRuns[r.order.Key] = barredRun{at: p.o.Now(), state: contract.RunLost}
 	fx.reports = append(fx.reports, report{r.home, contract.RunReport{
-		Key: r.order.Key, State: contract.RunLost, Worker: worker, Ran: r.mayHaveRun,
+		Key: r.order.Key, State: contract.RunLost, Worker: worker, MayHaveStarted: r.mayHaveRun,
 	}})
 }
 
@@ -434,7 +434,7 @@
 			p.o.Logger.Info("run was not refreshed or claimed; stopping it", "task", k.String(), "home", r.home,
 				"claimed", r.claimed,
 				"since_refresh", now.Sub(r.refreshedAt))
-			p.counter(metric.PoolRunsUnwanted).Inc(1)
+			p.counter(metric.PoolRunsAbandoned).Inc(1)
 			p.withdraw(r, &fx)
 		}
 	}
@@ -448,7 +448,7 @@
 
 // sweepHost ends the runs of a worker that has not replied until their lease expired. p.mu is held.
 func (p *Pool) sweepHost(t *ownedHost, now time.Time, fx *effects) {
-	if len(t.runs) == 0 || now.Before(t.host.LapsedBy()) {
+	if len(t.runs) == 0 || now.Before(t.host.LeasesExpireBy()) {
 		return
 	}
 	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", t.host.Listing.Worker,
@@ -459,7 +459,7 @@
 		}
 		p.finish(r, contract.RunEnded, 0, fx)
 	}
-	t.host.Stalled(now)
+	t.host.Suspend(now)
 }
 
 // Owned returns the workers that this VM has acquired and still owns.
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -78,47 +78,49 @@
 	return c.hosts[a.Worker].Stop(ctx, k, token)
 }
 
-func (c *hostCalls) Hold(ctx context.Context, a link.HostAddress, h link.HostHold) (link.HoldReply, error) {
+func (c *hostCalls) Poll(ctx context.Context, a link.HostAddress, h link.HostPoll) (link.PollReply, error) {
 	if c.delayPolls.Load() {
 		time.Sleep(5 * time.Millisecond)
 	}
-	return c.hosts[a.Worker].Hold(ctx, h)
+	return c.hosts[a.Worker].Poll(ctx, h)
 }
 
-func (c *hostCalls) Forget(link.HostAddress) {}
+func (c *hostCalls) CloseIdleConnections(link.HostAddress) {}
 
-// fixture is a pool with workers. takes holds the run times of tasks, sizes their CPU need, both by job. mu guards
-// takes, sizes and reports: the workers read the first two and the pool writes the third while a test runs.
+// fixture is a pool with workers. durations holds the run times of tasks, sizes their CPU need, both by job. mu guards
+// durations, sizes and reports: the workers read the first two and the pool writes the third while a test runs.
 type fixture struct {
-	pool     *Pool
-	calls    *hostCalls
-	list     []machine.Listing
-	observer *startObserver
-	takes    map[string]time.Duration
-	sizes    map[string]int
-	mu       sync.Mutex
-	reports  map[contract.RunKey]contract.RunReport
+	pool      *Pool
+	calls     *hostCalls
+	list      []machine.Listing
+	observer  *startObserver
+	durations map[string]time.Duration
+	sizes     map[string]int
+	mu        sync.Mutex
+	reports   map[contract.RunKey]contract.RunReport
 }
 
 func newFixture(workers int) *fixture {
 	b := &fixture{
 		calls: &hostCalls{hosts: make(map[string]*standin.RunHost)}, observer: &startObserver{workers: make(map[string]string)},
-		takes: make(map[string]time.Duration),
-		sizes: make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
+		durations: make(map[string]time.Duration),
+		sizes:     make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
 		capacity := machine.Resources{CPUMillis: 2000, MemoryMB: 1000}
 		h := standin.NewRunHost(standin.RunHostOptions{
 			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
-			Work: func(k contract.RunKey) standin.RunOutcome {
-				takes := b.runTime(k.Batch)
-				return standin.RunOutcome{Takes: takes, Stalls: takes == 0}
+			Work: func(k contract.RunKey) standin.RunPlan {
+				d := b.runTime(k.Batch)
+				return standin.RunPlan{Duration: d, Stalls: d == 0}
 			},
 			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.size(k.Batch)} },
 		})
 		b.calls.hosts[id] = h
-		b.list = append(b.list, machine.Listing{Worker: id, Backend: "s", Address: id, Born: h.Born(), Capacity: capacity})
+		b.list = append(b.list, machine.Listing{
+			Worker: id, Backend: "s", Address: id, StartTime: h.StartTime(), Capacity: capacity,
+		})
 	}
 	b.pool = New(Options{
 		Backend: "s", Calls: b.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
@@ -137,22 +139,22 @@
 func (b *fixture) setRunTime(job string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.takes[job] = d
+	b.durations[job] = d
 }
 
 // setDefaultRunTime sets the run time of a job that has none.
 func (b *fixture) setDefaultRunTime(job string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, ok := b.takes[job]; !ok {
-		b.takes[job] = d
+	if _, ok := b.durations[job]; !ok {
+		b.durations[job] = d
 	}
 }
 
 func (b *fixture) runTime(job string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.takes[job]
+	return b.durations[job]
 }
 
 func (b *fixture) setSize(job string, cpu int) {
@@ -291,7 +293,9 @@
 		b.pool.mu.Lock()
 		host := b.pool.hosts["w0"]
 		b.pool.mu.Unlock()
-		early := link.HoldReply{HostReply: link.HostReply{Clock: host.host.ClockAt(time.Now()), Born: b.list[0].Born}}
+		early := link.PollReply{HostReply: link.HostReply{
+			Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].StartTime,
+		}}
 		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
 		require.Equal(t, contract.RunStarted, b.state(key))
 	})
@@ -311,7 +315,7 @@
 		for died := time.Now(); time.Since(died) < 1300*time.Millisecond; time.Sleep(100 * time.Millisecond) {
 			b.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
 		}
-		reply, err := b.calls.hosts["w0"].Hold(context.Background(), link.HostHold{Token: 1 << 62})
+		reply, err := b.calls.hosts["w0"].Poll(context.Background(), link.HostPoll{Token: 1 << 62})
 		require.NoError(t, err)
 		for _, r := range reply.Running {
 			require.NotEqual(t, lost, r.Key)
@@ -333,7 +337,7 @@
 		key := b.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
-		b.list[0].Born = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
 		b.pool.SetHosts(b.list)
 		time.Sleep(300 * time.Millisecond)
 		require.Equal(t, contract.RunStarted, b.state(key))
@@ -354,7 +358,7 @@
 		b.calls.hosts["w0"].Restart()
 		time.Sleep(2 * time.Second)
 		last.Close()
-		b.list[0].Born = b.calls.hosts["w0"].Born()
+		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
 		next := New(b.pool.o)
 		defer next.Close()
 		next.SetHosts(b.list)
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -55,7 +55,7 @@
 	}
 	s := &Server{jobs: jobs, now: now, invalid: invalid, grpc: grpc.NewServer(opts...)}
 	api.RegisterDispatcherServer(s.grpc, s)
-	if c, ok := jobs.(Configured); ok {
+	if c, ok := jobs.(ConfigurationSource); ok {
 		api.RegisterConfigurationServer(s.grpc, configurationServer{source: c})
 	}
 	go func() {
@@ -180,7 +180,7 @@
 	}
 	if fault.IsProvenNotStarted(err) {
 		s.countInvalid(err)
-		return wire.AnswerTo(wire.RefusalOf(id, err)), nil
+		return wire.AnswerTo(wire.RefusedAnswer(id, err)), nil
 	}
 	return nil, s.callError(err)
 }
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -18,11 +18,11 @@
 	maxEndedListed = 500
 )
 
-// RunOutcome is the planned course of a run: how long it takes, and whether it fails or never ends by itself.
-type RunOutcome struct {
-	Takes  time.Duration
-	Fails  bool
-	Stalls bool
+// RunPlan is the planned course of a run: how long it takes, and whether it fails or never ends by itself.
+type RunPlan struct {
+	Duration time.Duration
+	Fails    bool
+	Stalls   bool
 }
 
 // RunObserver is notified of the starts and ends of runs on all workers. Its methods are called with the worker's mutex
@@ -39,7 +39,7 @@
 	id       string
 	capacity machine.Resources
 	maxLease time.Duration
-	work     func(key contract.RunKey) RunOutcome
+	work     func(key contract.RunKey) RunPlan
 	need     func(key contract.RunKey) machine.Resources
 	observer RunObserver
 
@@ -73,7 +73,7 @@
 type hostRun struct {
 	key     contract.RunKey
 	started time.Time
-	outcome RunOutcome
+	plan    RunPlan
 	timer   *time.Timer
 	// stopping is true after a stop call. The run still uses capacity until it ends.
 	stopping bool
@@ -84,7 +84,7 @@
 	ID       string
 	Capacity machine.Resources
 	MaxLease time.Duration
-	Work     func(key contract.RunKey) RunOutcome
+	Work     func(key contract.RunKey) RunPlan
 	Need     func(key contract.RunKey) machine.Resources
 	Observer RunObserver
 }
@@ -98,23 +98,23 @@
 	}
 }
 
-// Born returns the start time of the worker's current incarnation, in Unix milliseconds.
-func (h *RunHost) Born() int64 {
+// StartTime returns the start time of the worker's current incarnation, in Unix milliseconds.
+func (h *RunHost) StartTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.startTime.UnixMilli()
 }
 
-// SetLate makes the worker execute starts and stops only after a delay, and leave all calls unanswered. Zero ends this
+// SetDelay makes the worker execute starts and stops only after a delay, and leave all calls unanswered. Zero ends this
 // fault.
-func (h *RunHost) SetLate(d time.Duration) {
+func (h *RunHost) SetDelay(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.delay = d
 }
 
-// SetLateEach applies the fault of SetLate to every nth call only. An n of 0 ends it.
-func (h *RunHost) SetLateEach(n int, delay time.Duration) {
+// SetDelayEveryNth applies the fault of SetDelay to every nth call only. An n of 0 ends it.
+func (h *RunHost) SetDelayEveryNth(n int, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.delayEveryNth, h.nthDelay = n, delay
@@ -162,7 +162,7 @@
 func (h *RunHost) clock() time.Duration { return time.Since(h.startTime) }
 
 func (h *RunHost) reply() link.HostReply {
-	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), Born: h.startTime.UnixMilli()}
+	return link.HostReply{Clock: h.clock().Truncate(time.Millisecond), StartTime: h.startTime.UnixMilli()}
 }
 
 // admit checks a call's fencing token, and records it if it is the highest. h.mu must be held.
@@ -236,14 +236,14 @@
 	}
 	need := h.need(s.Key)
 	if !h.capacity.Minus(h.used).Fits(need) {
-		return link.StartNoRoom, reply
+		return link.StartNoCapacity, reply
 	}
-	r := &hostRun{key: s.Key, started: time.Now(), outcome: h.work(s.Key)}
+	r := &hostRun{key: s.Key, started: time.Now(), plan: h.work(s.Key)}
 	h.used = h.used.Plus(need)
 	h.running[s.Key] = r
 	h.observer.Started(h.id, s.Key)
-	if !r.outcome.Stalls {
-		r.timer = time.AfterFunc(r.outcome.Takes, func() { h.complete(r) })
+	if !r.plan.Stalls {
+		r.timer = time.AfterFunc(r.plan.Duration, func() { h.complete(r) })
 	}
 	return link.StartAccepted, reply
 }
@@ -276,7 +276,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state := contract.RunDone
-	if r.outcome.Fails {
+	if r.plan.Fails {
 		state = contract.RunFailed
 	}
 	if r.stopping {
@@ -330,21 +330,21 @@
 	return reply
 }
 
-// Hold extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
-func (h *RunHost) Hold(ctx context.Context, c link.HostHold) (link.HoldReply, error) {
+// Poll extends the lease and lists the runs. It waits up to c.Wait for a run to end if it has no ended run to report.
+func (h *RunHost) Poll(ctx context.Context, c link.HostPoll) (link.PollReply, error) {
 	if !h.deliver(nil) {
-		return link.HoldReply{}, h.awaitTimeout(ctx)
+		return link.PollReply{}, h.awaitTimeout(ctx)
 	}
 	h.mu.Lock()
 	if !h.admit(c.Token) {
 		defer h.mu.Unlock()
 		// As on the platform, the answer to a fenced call contains the clock but not the start time.
-		return link.HoldReply{HostReply: link.HostReply{Clock: h.reply().Clock, Fenced: true}}, nil
+		return link.PollReply{HostReply: link.HostReply{Clock: h.reply().Clock, Fenced: true}}, nil
 	}
 	if c.LeaseEnd > 0 {
 		h.extend(c.LeaseEnd)
 	}
-	for len(h.endedRuns) > 0 && h.endedRuns[0].Number <= c.LastSeen {
+	for len(h.endedRuns) > 0 && h.endedRuns[0].Number <= c.LastOutcome {
 		h.endedRuns = h.endedRuns[1:]
 	}
 	if len(h.endedRuns) == 0 && c.Wait > 0 {
@@ -354,24 +354,24 @@
 		case <-changed:
 		case <-time.After(c.Wait):
 		case <-ctx.Done():
-			return link.HoldReply{}, fault.InDoubt.New("caller of worker %s stopped waiting", h.id)
+			return link.PollReply{}, fault.InDoubt.New("caller of worker %s stopped waiting", h.id)
 		}
 		h.mu.Lock()
 	}
 	defer h.mu.Unlock()
 	if h.down {
-		return link.HoldReply{}, fault.InDoubt.New("worker %s has crashed", h.id)
+		return link.PollReply{}, fault.InDoubt.New("worker %s has crashed", h.id)
 	}
 	return h.list(), nil
 }
 
 // list returns the running and ended runs. h.mu must be held.
-func (h *RunHost) list() link.HoldReply {
-	out := link.HoldReply{HostReply: h.reply()}
+func (h *RunHost) list() link.PollReply {
+	out := link.PollReply{HostReply: h.reply()}
 	for _, r := range h.running {
 		progress := 0
-		if !r.outcome.Stalls && r.outcome.Takes > 0 {
-			progress = int(100 * time.Since(r.started) / r.outcome.Takes)
+		if !r.plan.Stalls && r.plan.Duration > 0 {
+			progress = int(100 * time.Since(r.started) / r.plan.Duration)
 		}
 		out.Running = append(out.Running, link.RunningRun{Key: r.key, Progress: progress})
 	}
