--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -170,7 +170,7 @@
 	if len(t.runs) == 0 {
 		return h, t.unackedOutcomes
 	}
-	// The lease is not extended while the worker does not reply, so that its runs end with it.
+	// The lease is not extended while the worker does not reply: its runs end when the lease expires.
 	if t.pollFailed {
 		return h, true
 	}
--- a/pool/match.go
+++ b/pool/match.go
@@ -124,7 +124,8 @@
 	return a.Listing.Worker < b.Listing.Worker
 }
 
-// largestFree returns the worker with the most free CPU that can hold a task.
+// largestFree returns the worker with the most free CPU among those that can hold a task: it needs to free the least
+// capacity for it.
 func (p *Pool) largestFree(o contract.TaskOrder) *ownedHost {
 	var best *ownedHost
 	for _, t := range p.hosts {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -47,7 +47,7 @@
 	Metrics  metrics.Registry
 }
 
-// Pool is the shard of one back end: the owned workers, the waiting tasks and the runs. mu guards all fields below it.
+// Pool is the shard of one back end: the owned workers, the queued tasks and the runs. mu guards all fields below it.
 type Pool struct {
 	o          Options
 	ctx        context.Context
@@ -432,8 +432,7 @@
 		case r.state == runFinal || r.cancelled:
 		case !r.claimed && now.Sub(r.queuedAt) > claimWindow, r.claimed && now.Sub(r.refreshedAt) > refreshTimeout:
 			p.o.Logger.Info("run was not refreshed or claimed; stopping it", "task", k.String(), "home", r.home,
-				"claimed", r.claimed,
-				"since_refresh", now.Sub(r.refreshedAt))
+				"claimed", r.claimed, "since_refresh", now.Sub(r.refreshedAt))
 			p.counter(metric.PoolRunsAbandoned).Inc(1)
 			p.withdraw(r, &fx)
 		}
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -20,9 +20,9 @@
 }
 
 // sort orders the runs by urgency at a given time, for a worker of a given speed. First come runs that can still meet
-// their latency target there, by priority and then by target, together with the remaining runs of started jobs, whose
-// completed tasks would otherwise be wasted; then late runs, then runs so late that their answer is worth little, last
-// runs that cannot end before their deadline.
+// their latency target there, by priority and then by target, together with the late runs of started jobs, whose other
+// tasks would otherwise have run in vain; then the other late runs, then runs so late that their answer is worth
+// little, last runs that cannot end before their deadline.
 func (q *queue) sort(now time.Time, speed float64) {
 	for _, r := range q.runs {
 		r.class = r.lateness(now, speed)
