--- a/batch/home.go
+++ b/batch/home.go
@@ -48,7 +48,8 @@
 type Options struct {
 	Owners   Owners
 	Capacity *zone.CapacityView
-	// Fits reports whether any listed worker of a back end can hold a task, and whether any worker is listed at all.
+	// Fits reports whether any listed worker of a back end can hold a task. known is false if no worker of the back end
+	// is listed.
 	Fits    func(backend string, need machine.Resources, label string) (fits, known bool)
 	Now     func() time.Time
 	Logger  *slog.Logger
@@ -64,7 +65,7 @@
 	shards [shards]shard
 }
 
-// shard holds the jobs with some ids. mu guards the map and the jobs in it.
+// shard holds the jobs whose ids hash to it. mu guards the map and the jobs in it.
 type shard struct {
 	mu   sync.Mutex
 	jobs map[string]*job
