--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -39,8 +39,8 @@
 	// assignInterval is the longest time between two assignments of workers to owners.
 	assignInterval = 500 * time.Millisecond
 	// orphanDelay is how long a failure domain is without a member before the others take over its workers. A process
-	// that was partitioned from the others sees them all missing, and must have time for contact before it acquires
-	// anything.
+	// that was partitioned from the others sees them all missing, and must have time to hear from them before
+	// it acquires anything.
 	orphanDelay = 2 * time.Second
 )
 
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -256,7 +256,7 @@
 	return found
 }
 
-// deployment is a whole deployment in one process: daemons, workers and a store.
+// deployment runs the daemons, workers and store of a deployment in one process.
 type deployment struct {
 	t        *testing.T
 	net      *network
--- a/edge/workerfeed.go
+++ b/edge/workerfeed.go
@@ -20,9 +20,9 @@
 	directReadLimit = 16
 	// readers is the number of members of a larger failure domain that read the list and forward it.
 	readers = 3
-	// feedTimeout is the time without contact to a reader after which a member reads the list itself.
+	// feedTimeout is the time without contact with a reader after which a member reads the list itself.
 	feedTimeout = 2500 * time.Millisecond
-	// listGrace is how long a change may arrive after the status that announces it.
+	// listGrace is how much later than the status that announces it a change may arrive.
 	listGrace = 300 * time.Millisecond
 	// listRequestInterval is the shortest time between requests for the full list of a reader.
 	listRequestInterval = 500 * time.Millisecond
--- a/edge/workers.go
+++ b/edge/workers.go
@@ -75,7 +75,7 @@
 	return list
 }
 
-// fits reports whether any worker of a back end can hold a task.
+// fits reports whether any worker of a back end can hold a task. known is false if the back end has no worker.
 func (w *workers) fits(backend string, need machine.Resources, label string) (fits, known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
