--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -25,7 +25,7 @@
 	StartUnhealthy
 	// StartInvalid means that the worker cannot decode the call.
 	StartInvalid
-	// StartOtherIncarnation means that the worker has been restarted and has another incarnation.
+	// StartOtherIncarnation means that the worker has been restarted: another worker answers at its address.
 	StartOtherIncarnation
 )
 
@@ -67,7 +67,8 @@
 type HostReply struct {
 	Clock     time.Duration
 	StartTime int64
-	// Fenced and OtherIncarnation are the reasons for which a call has no effect: a higher fencing token, or a restart.
+	// Fenced and OtherIncarnation are the reasons for which a call has no effect: a higher fencing token, or another
+	// worker at the address.
 	Fenced           bool
 	OtherIncarnation bool
 }
@@ -93,7 +94,8 @@
 	Ended   []EndedRun
 }
 
-// HostCalls is the client of the workers. The outcome of a call that returns an error is in doubt.
+// HostCalls is the client of the workers. After an error the outcome of the call is in doubt, unless the error has the
+// trait fault.ProvenNotStarted.
 type HostCalls interface {
 	Start(ctx context.Context, a HostAddress, s HostStart) (StartVerdict, HostReply, error)
 	Stop(ctx context.Context, a HostAddress, key contract.RunKey, token uint64) (HostReply, error)
--- a/link/peer.go
+++ b/link/peer.go
@@ -314,7 +314,7 @@
 	p.mu.Unlock()
 	env := &api.Envelope{Sequence: sequence, Lamport: p.o.Lamport(), Messages: batch}
 	if sequence == 1 {
-		// Only the first envelope of a stream identifies the sender; in each it would be a third of the bytes.
+		// Only the first envelope of a stream identifies the sender: repeated in each, it would be a third of the bytes.
 		env.FromVm, env.FromDomain = p.o.Self.VM.ID, p.o.Self.Domain
 		env.FromIncarnation = uint64(p.o.Self.VM.Incarnation)
 	}
--- a/link/workerlink.go
+++ b/link/workerlink.go
@@ -94,8 +94,8 @@
 	l.polling = false
 }
 
-// observe records a status report and returns the starts whose tasks are not running, so that the worker should have
-// replied. A nil list means that the worker does not report its tasks.
+// observe records a status report and returns the starts whose tasks are not running: the worker should have replied
+// to them. A nil list means that the worker does not report its tasks.
 func (l *workerLink) observe(tasks []string, sent, now time.Time) map[contract.TaskID]*pendingStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/link/workertime.go
+++ b/link/workertime.go
@@ -6,7 +6,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// sendTime adds the logical time, so that the worker's events are ordered after those that caused them.
+// sendTime adds the logical time to a request, so that the worker's events are ordered after those that caused them.
 func (l *Workers) sendTime(req *protocol.Request) {
 	req.Header.Set(HeaderLamport, strconv.FormatUint(l.clock.Tick(), 10))
 }
