--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -39,7 +39,7 @@
 	// assignInterval is the longest time between two assignments of workers to owners.
 	assignInterval = 500 * time.Millisecond
 	// orphanDelay is how long a failure domain is without a member before the others take over its workers. A process
-	// that was partitioned from the others sees them all missing, and must have time to hear from them before
+	// that was partitioned from the others sees them all missing, and must have time to make contact before
 	// it acquires anything.
 	orphanDelay = 2 * time.Second
 )
