--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -148,7 +148,7 @@
 	return schedulers
 }
 
-// Submit accepts a job. It has no effect if a job with the same ID was accepted before.
+// Submit accepts a job. It has no effect if a job with the same id was accepted before.
 func (d *Dispatcher) Submit(spec contract.JobSpec) error {
 	now := d.o.Now()
 	if _, _, err := d.o.Table.Lookup(spec.ID); err == nil {
--- a/dispatch/match.go
+++ b/dispatch/match.go
@@ -10,8 +10,8 @@
 	"github.com/cicadadale/cicadadale/customer"
 )
 
-// match assigns waiting tasks to slots unless starts are suspended, and adjusts the holdings to the rest. It expects
-// sched.mu to be held.
+// match assigns waiting tasks to slots unless starts are suspended, and adjusts the holdings to the remaining tasks. It
+// expects sched.mu to be held.
 func (sched *Scheduler) match(now time.Time) Plan {
 	var plan Plan
 	sched.queue.Advance(now)
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/timeline"
 )
 
-// refuse records a refusal, so that a later submission with the same job ID gets the same answer. If the job was
+// refuse records a refusal, so that a later submission with the same job id gets the same answer. If the job was
 // accepted in the meantime, the submission counts as a resubmission and succeeds.
 func (d *Dispatcher) refuse(id contract.JobID, cause error, now time.Time) error {
 	if !fault.IsProvenNotStarted(cause) {
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -174,7 +174,7 @@
 	return d
 }
 
-// renewed records the end of a renewal.
+// finishRenewal records the end of a renewal; ok is set if it succeeded.
 func (r *runningTasks) finishRenewal(t *runningTask, ok bool, now time.Time) {
 	s := r.shard(t.assignment.Item.Task)
 	s.mu.Lock()
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -228,12 +228,12 @@
 // save messages. It expects sched.mu to be held.
 func (sched *Scheduler) idleReturns(now time.Time) []contract.SlotReturn {
 	allocators := make(map[string]bool)
-	linger := idleTimeout
+	timeout := idleTimeout
 	if sched.o.Scarce(sched.service.Name()) {
-		linger = unusedTimeout
+		timeout = unusedTimeout
 	}
 	out := sched.returns(sched.holdings.DropIdle(func(s contract.Slot) bool {
-		if now.Sub(s.IdleSince) >= linger || !sched.usable(s, now) {
+		if now.Sub(s.IdleSince) >= timeout || !sched.usable(s, now) {
 			allocators[sched.o.Allocator(s.Worker)] = true
 			return true
 		}
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -57,7 +57,7 @@
 	expires time.Time
 }
 
-func (m *schedulerModel) carryOut(p Plan) {
+func (m *schedulerModel) execute(p Plan) {
 	for _, a := range p.Assignments {
 		class, ok := m.waiting[a.Item.Task]
 		require.True(m.t, ok, "task %v is started twice", a.Item.Task)
@@ -90,7 +90,7 @@
 		m.waiting[it.Task] = class
 		items = append(items, it)
 	}
-	m.carryOut(m.sched.Push(items, m.now))
+	m.execute(m.sched.Push(items, m.now))
 }
 
 func (m *schedulerModel) grant() {
@@ -103,7 +103,7 @@
 		grants = append(grants, g)
 	}
 	m.expires = m.now.Add(zone.GrantTTL)
-	m.carryOut(m.sched.AddGrants(grants, m.now))
+	m.execute(m.sched.AddGrants(grants, m.now))
 }
 
 func (m *schedulerModel) check() {
@@ -145,17 +145,17 @@
 			"grant": action(m.grant),
 			"release": action(func() {
 				if s, ok := m.takeRunning(); ok {
-					m.carryOut(m.sched.Release(s, m.now))
+					m.execute(m.sched.Release(s, m.now))
 				}
 			}),
 			"reject": action(func() {
 				if s, ok := m.takeRunning(); ok {
-					m.carryOut(m.sched.Reject(s, true, m.now))
+					m.execute(m.sched.Reject(s, true, m.now))
 				}
 			}),
 			"recall": action(func() {
 				wait := time.Duration(rapid.IntRange(0, 500).Draw(m.t, "wait")) * time.Millisecond
-				m.carryOut(m.sched.Recall(testRemote, rapid.IntRange(1, 4).Draw(m.t, "slots"), wait, m.now))
+				m.execute(m.sched.Recall(testRemote, rapid.IntRange(1, 4).Draw(m.t, "slots"), wait, m.now))
 			}),
 			"renew": action(func() {
 				m.expires = m.now.Add(zone.GrantTTL)
@@ -163,21 +163,21 @@
 			}),
 			"time": action(func() {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(m.t, "ms")) * time.Millisecond)
-				m.carryOut(m.sched.Tick(m.now))
+				m.execute(m.sched.Tick(m.now))
 			}),
 			"": action(m.check),
 		})
 		m.t = t
 		for len(m.running) > 0 || len(m.waiting) > 0 {
 			if s, ok := m.takeRunning(); ok {
-				m.carryOut(m.sched.Release(s, m.now))
+				m.execute(m.sched.Release(s, m.now))
 			} else {
 				m.grant()
 				m.expires = m.now.Add(zone.GrantTTL)
 			}
 		}
 		m.now = m.now.Add(idleTimeout)
-		m.carryOut(m.sched.Tick(m.now))
+		m.execute(m.sched.Tick(m.now))
 		require.Zero(t, m.granted, "slots are held while nothing waits")
 		m.check()
 	})
