--- a/zone/allocator.go
+++ b/zone/allocator.go
@@ -17,7 +17,7 @@
 	demandTTL = 500 * time.Millisecond
 	// grantDelivery is the time after which a grant that has not arrived counts as lost.
 	grantDelivery = 500 * time.Millisecond
-	// withholdTime is how long a slot is withheld after the worker refused a start on it.
+	// withholdTime is how long a slot is withheld after the worker rejected a start on it.
 	withholdTime = time.Second
 	// memberRetention is the time without contact after which the record of a member is deleted.
 	memberRetention = 10 * time.Minute
@@ -229,8 +229,8 @@
 	return a.allocate(now)
 }
 
-// Reject takes back slots on which the worker refused a start because it had none free, which means that another
-// allocator has granted them. They are withheld for withholdTime.
+// Reject takes back slots that a member could not use, because the worker is leaving or rejected a start as it had no
+// free slot, which means that another allocator has granted them. They are withheld for withholdTime.
 func (a *SlotAllocator) Reject(member string, slots []Held, now time.Time) []Allocation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/zone/allocator_test.go
+++ b/zone/allocator_test.go
@@ -246,7 +246,7 @@
 	require.Len(t, recalls, 1)
 	require.Equal(t, "entry-1", recalls[0].Member)
 	require.Equal(t, 300*time.Millisecond, recalls[0].Wait)
-	require.Empty(t, allocator.Recalls(now), "spaced")
+	require.Empty(t, allocator.Recalls(now), "no second recall within recallInterval")
 
 	later := now.Add(time.Second)
 	demand("entry-1", 120*time.Millisecond, later)
--- a/zone/demandplanner.go
+++ b/zone/demandplanner.go
@@ -146,7 +146,7 @@
 }
 
 // Plan divides the demand and returns the parts to send. The VM's own allocator is called directly and needs no
-// message.
+// message, so a change of its part is never delayed.
 func (p *DemandPlanner) Plan(need Count, now time.Time) []DemandPart {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -52,10 +52,10 @@
 // Homes holds the incarnations of the entry VMs of one failure domain. Its mutex guards all fields.
 //
 // The answer "outcome unknown" is given only for an incarnation that is gone. An incarnation is gone when its VM runs
-// another one, when the list has omitted its VM for SilenceLimit, or when more than half of the listed members, none
-// of which has received a message from it for that time, have promised to refuse it permanently. A home gives final
-// answers only while its AnswerLease holds, which is never the case after that many promises, so a home that returns
-// from a partition cannot contradict the answer.
+// another one, when the list has omitted its VM for SilenceLimit (for unlistedLimit if it has never shown the VM), or
+// when more than half of the listed members, none of which has received a message from it for SilenceLimit, have
+// promised to refuse it permanently. A home gives final answers only while its AnswerLease holds, which is never the
+// case after that many promises, so a home that returns from a partition cannot contradict the answer.
 type Homes struct {
 	mu      sync.Mutex
 	records map[machine.Incarnation]*homeRecord
@@ -125,8 +125,8 @@
 	}
 }
 
-// endReplaced ends the incarnations that are known only from other members and whose VM still runs another one: a
-// newer incarnation would have replaced that one and ended its messages. It expects h.mu to be held.
+// endReplaced ends the incarnations that are known only from other members and whose VM still runs another one: if
+// they were newer, that one would have been replaced and be silent. It expects h.mu to be held.
 func (h *Homes) endReplaced(now time.Time) {
 	for inc, r := range h.records {
 		if r.reportedAt.IsZero() || !r.lastContact.IsZero() || now.Sub(r.reportedAt) < SilenceLimit {
--- a/zone/recall.go
+++ b/zone/recall.go
@@ -23,16 +23,16 @@
 type Recall struct {
 	Member string
 	Slots  int
-	// Wait is the wait of the demander's oldest task. A holder whose own work has waited about as long keeps the slots
+	// Wait is the wait of the requester's oldest task. A holder whose own work has waited about as long keeps the slots
 	// that it uses.
 	Wait time.Duration
 }
 
 // recallState limits the recalls of an allocator.
 type recallState struct {
-	at       time.Time
-	demander string
-	gap      time.Duration
+	at        time.Time
+	requester string
+	gap       time.Duration
 }
 
 // MayRecall reports whether work that has waited for wait takes precedence over work that has waited for own.
@@ -79,9 +79,9 @@
 	wait  time.Duration
 }
 
-// holders returns the members that may have to return slots for the demander, ordered by the wait of their oldest
+// holders returns the members that may have to return slots for the requester, ordered by the wait of their oldest
 // task, shortest first. It expects a.mu to be held.
-func (a *SlotAllocator) holders(demander string, wait time.Duration, now time.Time) []holder {
+func (a *SlotAllocator) holders(requester string, wait time.Duration, now time.Time) []holder {
 	slots := make(map[string]int)
 	for _, w := range a.workers {
 		for n, h := range w.held {
@@ -95,8 +95,8 @@
 		if !m.backlog.IsZero() {
 			own = max(1, now.Sub(m.backlog))
 		}
-		// A member without waiting work may hold idle slots, which it returns whatever the demander's wait is.
-		if n == demander || held-m.recalled <= 0 || (own > 0 && !MayRecall(wait, own)) {
+		// A member without waiting work may hold idle slots, which it returns whatever the requester's wait is.
+		if n == requester || held-m.recalled <= 0 || (own > 0 && !MayRecall(wait, own)) {
 			continue
 		}
 		out = append(out, holder{name: n, slots: held - m.recalled, wait: own})
@@ -112,10 +112,10 @@
 
 // gapGrows reports whether the difference between the waits still grows. While it shrinks, the slots already recalled
 // suffice, and recalling more would reverse the difference. It expects a.mu to be held.
-func (a *SlotAllocator) gapGrows(demander string, youngest holder, wait time.Duration) bool {
+func (a *SlotAllocator) gapGrows(requester string, youngest holder, wait time.Duration) bool {
 	gap := wait - youngest.wait
-	before, same := a.recall.gap, a.recall.demander == demander
-	a.recall.demander, a.recall.gap = demander, gap
+	before, same := a.recall.gap, a.recall.requester == requester
+	a.recall.requester, a.recall.gap = requester, gap
 	return youngest.wait == 0 || !same || gap >= before
 }
 
