--- a/contract/grant.go
+++ b/contract/grant.go
@@ -38,7 +38,8 @@
 	Long    int
 	// Unused counts slots on which no task was started.
 	Unused int
-	// Rejected means that the worker had no free slot: more slots were granted than it has.
+	// Rejected means that the worker had no free slot, because more slots were granted than it has, or that the worker
+	// is leaving. The allocator then withholds the slots.
 	Rejected bool
 }
 
--- a/contract/handover.go
+++ b/contract/handover.go
@@ -137,8 +137,8 @@
 	return next
 }
 
-// Detach removes the jobs that never started from this table's responsibility and returns each of them once. They can
-// never start here again, whether or not a successor confirms them.
+// Detach marks the jobs that never started as handed over and returns each of them once. They can never start here
+// again, whether or not a successor confirms them, unless Restore takes them back.
 func (t *JobTable) Detach() []JobSpec {
 	var specs []JobSpec
 	for i := range t.shards {
--- a/contract/id.go
+++ b/contract/id.go
@@ -9,7 +9,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// idLength is the initial capacity for the text of an id.
+// idLength is the usual length of an id as text, used as initial capacity.
 const idLength = 48
 
 // JobID identifies a job. Only the incarnation Home may start its tasks.
--- a/contract/job.go
+++ b/contract/job.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// neverStarted reports whether no task of the job has or may have started, and none has finished. It expects the
-// shard lock to be held.
+// neverStarted reports whether no task of the job has started or may have started, and none has finished. It expects
+// the shard lock to be held.
 func (j *Job) neverStarted() bool {
 	return j.started == 0 && j.unfinished == len(j.spec.Tasks) && j.unfinished > 0
 }
--- a/contract/slotbuckets.go
+++ b/contract/slotbuckets.go
@@ -48,10 +48,10 @@
 	return s
 }
 
-// fastest returns the bucket of the fastest idle slot, -1 without any.
+// fastest returns the bucket of the fastest idle slot, or -1 if there is none.
 func (b *slotBuckets) fastest() int { return bits.Len32(b.filled) - 1 }
 
-// slowest returns the bucket of the slowest idle slot, -1 without any.
+// slowest returns the bucket of the slowest idle slot, or -1 if there is none.
 func (b *slotBuckets) slowest() int {
 	if b.filled == 0 {
 		return -1
