--- a/customer/admission.go
+++ b/customer/admission.go
@@ -116,8 +116,8 @@
 
 func (p dueProfile) list() []Due {
 	out := make([]Due, 0, len(p))
-	for g, work := range p {
-		out = append(out, Due{By: time.Unix(0, g*int64(deadlineResolution)), Work: work})
+	for bucket, work := range p {
+		out = append(out, Due{By: time.Unix(0, bucket*int64(deadlineResolution)), Work: work})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].By.Before(out[j].By) })
 	return out
--- a/customer/admission_test.go
+++ b/customer/admission_test.go
@@ -37,15 +37,15 @@
 		now = now.Add(step)
 		q.Advance(now)
 		for n, demand := range demands {
-			who := string(rune('a' + n))
+			customer := string(rune('a' + n))
 			for due[n] += demand * factor(now.Sub(epoch)) * float64(slots) * step.Seconds() / 0.2; due[n] >= 5; due[n] -= 5 {
 				job++
 				load := fiveTaskJob(now.Add(deadline))
-				if !Admit(q.Backlog(TeamKey{who, "t"}, 0), load, float64(slots), now).Admit {
+				if !Admit(q.Backlog(TeamKey{customer, "t"}, 0), load, float64(slots), now).Admit {
 					f.refused = now.Sub(epoch)
 					continue
 				}
-				items := tasks(job, 5, who, "t", 200*time.Millisecond)
+				items := tasks(job, 5, customer, "t", 200*time.Millisecond)
 				for i := range items {
 					items[i].Enqueued, items[i].Deadline = now, now.Add(deadline)
 				}
--- a/customer/example_test.go
+++ b/customer/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/customer"
 )
 
-// A customer that floods the queue does not delay the tasks of another customer behind all of its own.
+// The tasks of one customer do not wait behind all tasks of another one that floods the queue.
 func ExampleQueue() {
 	now := time.Unix(0, 0)
 	q := customer.NewQueue(customer.NewTeams(false))
--- a/customer/flow.go
+++ b/customer/flow.go
@@ -121,7 +121,7 @@
 	work := time.Duration(n) * it.Expected
 	cf := f.customer
 	if cf.tasks == 0 {
-		// An idle flow earns no credit while it has no waiting work.
+		// A flow earns no credit for the time without waiting work.
 		cf.virtual = max(cf.virtual, c.virtual)
 	}
 	if f.tasks == 0 {
--- a/customer/job.go
+++ b/customer/job.go
@@ -108,9 +108,9 @@
 type dueProfile map[int64]time.Duration
 
 func (p dueProfile) add(deadline time.Time, work time.Duration) {
-	g := deadlineBucket(deadline)
-	p[g] += work
-	if p[g] <= 0 {
-		delete(p, g)
+	bucket := deadlineBucket(deadline)
+	p[bucket] += work
+	if p[bucket] <= 0 {
+		delete(p, bucket)
 	}
 }
--- a/customer/queue.go
+++ b/customer/queue.go
@@ -78,7 +78,7 @@
 	first := &items[0]
 	c := &q.classes[first.Class]
 	if c.totals.Tasks == 0 {
-		// An idle class earns no credit while it has no waiting work.
+		// A class earns no credit for the time without waiting work.
 		c.served = max(c.served, q.classes[1-first.Class].served)
 	}
 	j, ok := c.jobs[first.Task.Job]
--- a/customer/queue_test.go
+++ b/customer/queue_test.go
@@ -16,11 +16,11 @@
 
 func jobID(n int) contract.JobID { return contract.JobID{Domain: 1, Home: 7, Seq: uint64(n)} }
 
-func tasks(job, n int, who, team string, expected time.Duration) []Item {
+func tasks(job, n int, customer, team string, expected time.Duration) []Item {
 	items := make([]Item, n)
 	for i := range items {
 		items[i] = Item{
-			Task: contract.TaskID{Job: jobID(job), Index: i}, Customer: who, Team: team, Enqueued: epoch,
+			Task: contract.TaskID{Job: jobID(job), Index: i}, Customer: customer, Team: team, Enqueued: epoch,
 			Deadline: epoch.Add(5 * time.Second), Expected: expected, Bytes: 10,
 		}
 	}
@@ -60,8 +60,8 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				jobs++
-				who := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer")
-				items := tasks(jobs, rapid.IntRange(1, 5).Draw(t, "n"), who, who, 100*time.Millisecond)
+				customer := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer")
+				items := tasks(jobs, rapid.IntRange(1, 5).Draw(t, "n"), customer, customer, 100*time.Millisecond)
 				for i := range items {
 					items[i].Class = backend.Class(rapid.IntRange(0, 1).Draw(t, "class"))
 					waiting[items[i].Task] = items[i]
@@ -114,7 +114,7 @@
 		for len(waiting) > 0 {
 			before := len(waiting)
 			it, ok := q.Pop(true)
-			require.True(t, ok, "%d tasks wait and none is offered", before)
+			require.True(t, ok, "%d tasks wait and none is popped", before)
 			delete(waiting, it.Task)
 			q.Finished(it, 0)
 			q.Wake(it.teamKey())
