--- a/machine/health.go
+++ b/machine/health.go
@@ -126,7 +126,7 @@
 	holdUntil time.Time
 }
 
-// State returns the state.
+// State returns the state as of the last call that updated it.
 func (h *Health) State() HealthState { return h.state }
 
 // Observe applies the outcome of a start and reports whether the state has changed.
@@ -159,8 +159,8 @@
 		h.unproven++
 		if h.unproven >= unprovenLimit {
 			h.fire(healthSuspected)
-			pause := firstHold << min(h.unproven-unprovenLimit, holdDoublings)
-			h.holdUntil = now.Add(pause)
+			hold := firstHold << min(h.unproven-unprovenLimit, holdDoublings)
+			h.holdUntil = now.Add(hold)
 		}
 		return
 	}
