--- a/backend/kind_test.go
+++ b/backend/kind_test.go
@@ -104,17 +104,17 @@
 		for i := range uint64(20) {
 			a.Observe([]string{"a", "b", "c"}[i%3], i, false, epoch)
 		}
-		held := 0
+		attributed := 0
 		for _, w := range []string{"a", "a", "b", "c", "a", "b"} {
 			cause := a.Observe(w, 100, true, epoch)
 			if cause.SucceedsElsewhere {
-				held++
+				attributed++
 			}
 			for _, n := range cause.Retract {
-				held -= n
+				attributed -= n
 			}
 		}
-		require.Zero(t, held)
+		require.Zero(t, attributed)
 	})
 }
 
