--- a/entry/claimcodec.go
+++ b/entry/claimcodec.go
@@ -31,7 +31,8 @@
 	return json.Marshal(r)
 }
 
-// decodeBatch decodes a record. Every reader skips claims without a valid key or job id.
+// decodeBatch decodes a record. Every reader skips claims without a valid key or job id, so all reach the same
+// decisions.
 func decodeBatch(data []byte) (contract.ClaimBatch, error) {
 	var r batchRecord
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -23,7 +23,8 @@
 	claimTimeout = time.Second
 	// outageTimeout bounds the wait while the log cannot be read, so that callers are refused early in an outage.
 	outageTimeout = 250 * time.Millisecond
-	// appendTimeout bounds one append. After a timeout the batch may still appear in the stream.
+	// appendTimeout bounds one append. The batch of a slower one may still appear in the stream, where its id is looked
+	// for.
 	appendTimeout = 700 * time.Millisecond
 	// barrierTimeout bounds the read that brings a lookup up to date.
 	barrierTimeout = 300 * time.Millisecond
@@ -161,8 +162,8 @@
 	c.table.Expire(now)
 }
 
-// claim claims the key and returns the job id that the key is bound to. It returns fault.Unavailable while the claim is
-// undecided; the claim may still win later.
+// claim claims the key and returns the job id that the key is bound to. It returns fault.Unavailable if the claim is
+// still undecided at the timeout; the claim may then win later.
 func (c *claimDelegate) claim(ctx context.Context, cl contract.Claim) (contract.JobID, error) {
 	c.start()
 	if id, bound, _ := c.table.Lookup(cl.Key); bound {
@@ -225,7 +226,8 @@
 }
 
 // lookup looks up a key without claiming it. While the log is unreachable, a key that this process neither knows nor is
-// claiming is reported as fault.Overloaded with reasonNotClaimed.
+// claiming is reported with reasonNotClaimed (fault.Overloaded), or with reasonNotRead (fault.Unavailable) if this
+// process had not read the stream to its end.
 func (c *claimDelegate) lookup(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	c.start()
 	if id, bound, _ := c.table.Lookup(k); bound {
@@ -382,7 +384,7 @@
 	for _, r := range page.Records {
 		b, err := decodeBatch(r.Data)
 		if err != nil {
-			// Every reader skips malformed records.
+			// Every reader skips malformed records, so all reach the same decisions.
 			c.o.Logger.Warn("skipping malformed record", "stream", claimStream, "offset", r.Offset, "error", err)
 		}
 		c.resolve(b.ID, r.Time, c.table.Apply(r.Offset, r.Time, b))
--- a/entry/cluster_test.go
+++ b/entry/cluster_test.go
@@ -310,7 +310,7 @@
 	for i := range vms {
 		c.start(c.vms[i].ID)
 	}
-	// Wait until the members have exchanged heartbeats and allocated the workers.
+	// Wait until the members have exchanged heartbeats and each has taken over the workers that it allocates.
 	time.Sleep(2 * time.Second)
 	c.baseline = make(map[string]int64)
 	for name, n := range c.counterDeltas() {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -78,10 +78,10 @@
 	budget     *platform.Budget
 	claims     *claimDelegate
 	configs    *configReplica
-	// inquiries is a semaphore for the claims that query other failure domains.
-	inquiries chan struct{}
-	clock     *timeline.Clock
-	timeline  *timeline.Ring
+	// domainLookups is a semaphore for the claims that query other failure domains.
+	domainLookups chan struct{}
+	clock         *timeline.Clock
+	timeline      *timeline.Ring
 
 	homes         *zone.Homes
 	lease         *zone.AnswerLease
@@ -146,7 +146,7 @@
 	d.peers = newPeers(d)
 	d.slots = newSlotBroker(d)
 	d.quotas = newQuotaExchange(d)
-	d.inquiries = make(chan struct{}, maxKeyInquiries)
+	d.domainLookups = make(chan struct{}, maxDomainLookups)
 	d.budget = platform.NewBudget(appendBudget)
 	d.claims = newClaimDelegate(claimDelegateOptions{
 		Self: o.VM.Incarnation, Log: o.Log, Budget: d.budget, Now: o.Now, Logger: o.Logger, Metrics: o.Metrics,
@@ -237,10 +237,10 @@
 
 // Kill stops the daemon at once, as a crash does. The jobs of this incarnation are lost.
 func (d *Daemon) Kill() {
-	cut, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.peers.close()
-	d.rpcServer.Stop(cut)
+	d.rpcServer.Stop(cancelled)
 	d.shutdown()
 }
 
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -23,13 +23,13 @@
 	appendBudget = 300.0
 	// claimReplyMargin is the time that a delegate's reply takes in addition to the wait for the log.
 	claimReplyMargin = 200 * time.Millisecond
-	// claimsTimeout bounds the claims through the delegate and its backup together. The sum with keyInquiryTimeout is
+	// claimsTimeout bounds the claims through the delegate and its backup together. The sum with domainLookupTimeout is
 	// below the three seconds after which a client repeats its call.
 	claimsTimeout = 1600 * time.Millisecond
-	// keyInquiryTimeout bounds the queries to other failure domains while the log is unreachable.
-	keyInquiryTimeout = 600 * time.Millisecond
-	// maxKeyInquiries bounds the claims that query other failure domains concurrently.
-	maxKeyInquiries = 64
+	// domainLookupTimeout bounds the queries to other failure domains while the log is unreachable.
+	domainLookupTimeout = 600 * time.Millisecond
+	// maxDomainLookups bounds the claims that query other failure domains concurrently.
+	maxDomainLookups = 64
 )
 
 // electClaimDelegate starts the claim delegate if this VM is chosen, and sets its share of the append budget.
@@ -132,12 +132,12 @@
 // least one of them cannot rule out that the key is claimed.
 func (d *Daemon) lookupAllDomains(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	select {
-	case d.inquiries <- struct{}{}:
-		defer func() { <-d.inquiries }()
+	case d.domainLookups <- struct{}{}:
+		defer func() { <-d.domainLookups }()
 	default:
 		return contract.JobID{}, false, fault.Unavailable.New("too many keys are being looked up")
 	}
-	ctx, cancel := context.WithTimeout(ctx, keyInquiryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, domainLookupTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var winner contract.JobID
@@ -163,7 +163,7 @@
 		}
 		wg.Go(func() {
 			req := &api.ClaimRequest{Key: wire.KeyTo(k), Lookup: true}
-			record(d.askDelegate(ctx, via.ID, req, keyInquiryTimeout))
+			record(d.askDelegate(ctx, via.ID, req, domainLookupTimeout))
 		})
 	}
 	wg.Wait()
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -16,8 +16,8 @@
 	// stalledAfter is the time without a heartbeat tick after which the process is reported as unhealthy.
 	stalledAfter = 10 * heartbeatInterval
 	// overloadWait is the expected wait above which this VM reports itself as not ready, so that the load balancer
-	// prefers others: the shortest deadline of the deployments' request kinds. Admission refuses such requests beyond
-	// it anyway.
+	// prefers others. It is the shortest deadline of the deployments' request kinds: above it, admission refuses
+	// requests of those kinds anyway.
 	overloadWait = 2 * time.Second
 )
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// maySeed reports whether this VM seeds the shares of its failure domain. Only the delegate does, and only once all
-// listed members have been contacted, so that a seeding known to them is not repeated.
+// maySeed reports whether this VM seeds the shares of its failure domain. Only the delegate does, and only once it has
+// received messages from all listed members, so that a seeding known to them is not repeated.
 func (q *quotaExchange) maySeed(delegate bool) bool {
 	if !delegate || q.d.o.Now().Sub(q.started) < seedingDelay {
 		return false
@@ -127,10 +127,10 @@
 	return q.seeded
 }
 
-func (q *quotaExchange) setSeeded(f uint64) {
+func (q *quotaExchange) setSeeded(below uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.seeded = max(q.seeded, f)
+	q.seeded = max(q.seeded, below)
 }
 
 // updateShare moves the share to the current revision of the quota. Shares of earlier revisions are void.
--- a/entry/slotmessages.go
+++ b/entry/slotmessages.go
@@ -130,8 +130,8 @@
 	s.handleStatus(vm, m.GetStatus(), true)
 }
 
-// handleHoldingsRequest reports all holdings to a new allocator, because this VM may not know yet which workers it took
-// over.
+// handleHoldingsRequest reports all holdings to a new allocator, because this VM may not know yet which workers the
+// allocator has taken over.
 func (s *slotBroker) handleHoldingsRequest(vm, service string) {
 	sched, ok := s.d.dispatcher.Scheduler(service)
 	if !ok {
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -19,14 +19,14 @@
 	for _, sched := range s.d.dispatcher.Schedulers() {
 		st := s.service(sched.Service().Name())
 		s.reportHoldings(st, sched, now)
-		// An allocator without contact may have let the grants expire.
+		// Only grants of live allocators are renewed: one without contact may have let them expire.
 		sched.Renew(now.Add(zone.GrantTTL), func(w machine.WorkerID) bool { return live[s.Allocator(w)] })
 		s.checkInvariants(st, sched)
 	}
 }
 
 // reportHoldings reports to each allocator the slots held on its workers. An allocator whose slots are no longer held
-// receives one last report.
+// receives one last, empty report.
 func (s *slotBroker) reportHoldings(st *serviceSlots, sched *dispatch.Scheduler, now time.Time) {
 	self := s.d.o.VM.ID
 	byAllocator := make(map[string][]zone.Held)
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -42,7 +42,7 @@
 	incarnations map[string]memberProcess
 }
 
-// memberProcess is the last process that a member was contacted under.
+// memberProcess is the process that sent the last message received from a member.
 type memberProcess struct {
 	incarnation machine.Incarnation
 	// fresh is set until the process becomes live for the first time. It cannot hold slots before that.
@@ -161,7 +161,8 @@
 	}
 }
 
-// candidates returns the members that may be allocators. A draining entry VM excludes itself.
+// candidates returns the members that may be allocators. A draining entry VM excludes itself, so that its workers pass
+// to other allocators.
 func (s *slotBroker) candidates() []machine.EntryVM {
 	live := s.d.domain.Live()
 	if !s.d.dispatcher.Draining() {
--- a/entry/slots_test.go
+++ b/entry/slots_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// wastedTarget and budgetTarget are the targets of the design page: wasted slots and starts per task, and control
-	// traffic in bytes/s per entry VM.
+	// wastedTarget and budgetTarget are the targets of the design page: rejected starts and unused grants per task, and
+	// control traffic in bytes/s per entry VM.
 	wastedTarget = 0.02
 	budgetTarget = 8 << 10
 	busyTarget   = 0.95
--- a/entry/workerpoll.go
+++ b/entry/workerpoll.go
@@ -12,9 +12,10 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// Number of rounds between two polls of a worker. Polling all 187 workers of a failure domain every second cost each
-// daemon 51 KB/s, several times the budget for all control traffic. A restarted worker is detected by its first
-// rejection at the latest, and the list shows which workers are leaving.
+// allocatorPollRounds is the number of rounds between two polls of a worker whose slots this VM allocates,
+// otherPollRounds that of all other workers. Polling all 187 workers of a failure domain every second cost each daemon
+// 51 KB/s, several times the budget for all control traffic. A restarted worker is detected by its first rejection at
+// the latest, and the list shows which workers are leaving.
 const (
 	allocatorPollRounds = 8
 	otherPollRounds     = 128
