--- a/rpc/client.go
+++ b/rpc/client.go
@@ -151,7 +151,8 @@
 
 // Run submits a job under an id of the client's choice and waits for its final answer, which contains the id. The job
 // is submitted under another id only if it is proven not to have run under the previous one: the home refused it
-// because it is stopping or has stopped, or the only copy of the submission was sent after the home had died.
+// because it is stopping or has stopped, or the home was gone or the id too old when the only copy of the submission
+// was sent.
 func (c *Client) Run(ctx context.Context, s contract.Submission) (contract.Answer, error) {
 	for range maxIDsPerJob {
 		id, err := c.NewJob(ctx)
