--- a/config/document.go
+++ b/config/document.go
@@ -98,7 +98,7 @@
 }
 
 func (d *document) openTable(path string, line int, array bool) {
-	if d.seen(path, line) {
+	if d.recordLine(path, line) {
 		return
 	}
 	switch {
@@ -109,8 +109,8 @@
 	}
 }
 
-// seen records the line of a key. If the key is repeated, it adds a finding and returns true.
-func (d *document) seen(path string, line int) bool {
+// recordLine records the line of a key. If the key is repeated, it adds a finding and returns true.
+func (d *document) recordLine(path string, line int) bool {
 	first, ok := d.lines[path]
 	if ok {
 		d.add(line, path, "is set twice; first set on line %d", first)
@@ -122,7 +122,7 @@
 
 func (d *document) keyValue(p *unstable.Parser, table string, e *unstable.Node) {
 	path, line := keyOf(p, table, e.Key())
-	if d.seen(path, line) {
+	if d.recordLine(path, line) {
 		return
 	}
 	value := e.Value()
--- a/config/entry.go
+++ b/config/entry.go
@@ -42,7 +42,7 @@
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 	Admin   string `toml:"admin"`
-	// AdminBeyondLoopback allows an admin address other than loopback. The admin server has no authentication.
+	// AdminBeyondLoopback allows an admin address that other machines can reach. The admin server has no authentication.
 	AdminBeyondLoopback bool `toml:"admin_beyond_loopback"`
 }
 
