--- a/admin/view.go
+++ b/admin/view.go
@@ -59,7 +59,7 @@
 	Open    bool   `json:"open"`
 	Queued  int    `json:"queued"`
 	Unacked uint64 `json:"unacknowledged"`
-	// SilentMS is how long an envelope has been waiting for its acknowledgement without any other one arriving.
+	// SilentMS is the time since the oldest unacknowledged envelope was sent, or 0 if all are acknowledged.
 	SilentMS int64 `json:"silent_ms"`
 }
 
