--- a/timeline/filter.go
+++ b/timeline/filter.go
@@ -118,10 +118,10 @@
 }
 
 func (f *Filter) matches(vm string, e *Event) bool {
-	return f.matchesWork(e) && f.matchesPlace(vm, e) && f.matchesKind(e.Kind) && f.matchesTime(e.Wall)
+	return f.matchesTask(e) && f.matchesMachine(vm, e) && f.matchesKind(e.Kind) && f.matchesTime(e.Wall)
 }
 
-func (f *Filter) matchesWork(e *Event) bool {
+func (f *Filter) matchesTask(e *Event) bool {
 	if f.Job != nil && e.Task.Job != *f.Job {
 		return false
 	}
@@ -134,7 +134,7 @@
 	return e.Task.Job == f.Task.Job
 }
 
-func (f *Filter) matchesPlace(vm string, e *Event) bool {
+func (f *Filter) matchesMachine(vm string, e *Event) bool {
 	if f.Worker != "" && e.Worker != f.Worker {
 		return false
 	}
