--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerance is the drift between the wall clock and the monotonic clock up to which no suspension is assumed. It covers
-// the adjustment of the wall clock and the rounding of both.
+// tolerance is the drift between the wall clock and the monotonic clock up to which Now does not check for a suspension.
+// It covers the adjustment of the wall clock and the rounding of both.
 const tolerance = 10 * time.Millisecond
 
 // Clock is a clock that includes suspensions. Its times may only be compared with each other.
 type Clock struct {
 	begin time.Time
 	// suspended is how long the machine has been suspended since begin; wallLead is how far the wall clock was ahead of
-	// the monotonic clock when that was last read. Both are in nanoseconds.
+	// the monotonic clock when suspended was last updated. Both are in nanoseconds.
 	suspended, wallLead atomic.Int64
 
 	// mu serializes updates of suspended and wallLead.
--- a/internal/child/process.go
+++ b/internal/child/process.go
@@ -1,4 +1,4 @@
-// Package child runs programs as child processes that tests control by signals.
+// Package child runs programs as child processes that tests and soak runs control by signals.
 package child
 
 import (
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -106,7 +106,8 @@
 	return out
 }
 
-// AnswerFrom decodes an answer. Results and outcomes are ordered by their index; an incomplete answer is an error.
+// AnswerFrom decodes an answer. Results and outcomes are ordered by their index; a complete answer that lacks a
+// result is an error.
 func AnswerFrom(a *api.Answer) (contract.Answer, error) {
 	id, err := contract.ParseJobID(a.GetJobId())
 	if err != nil && a.GetVerdict() != api.Verdict_VERDICT_REFUSED {
