--- a/standin/hostserver.go
+++ b/standin/hostserver.go
@@ -32,7 +32,7 @@
 	s := &HostServer{host: host, id: id, server: httpserve.New(l, nil)}
 	s.server.POST("/-/run-start", s.serve(s.start))
 	s.server.POST("/-/run-stop", s.serve(s.stop))
-	s.server.POST("/-/hold", s.serve(s.hold))
+	s.server.POST("/-/hold", s.serve(s.poll))
 	s.server.Start()
 	return s
 }
@@ -127,7 +127,7 @@
 	s.answer(c, link.PollReply{HostReply: reply}, err)
 }
 
-func (s *HostServer) hold(ctx context.Context, c *app.RequestContext, call hostCall) {
+func (s *HostServer) poll(ctx context.Context, c *app.RequestContext, call hostCall) {
 	reply, err := s.host.Poll(ctx, link.HostPoll{
 		Token: call.Token, LastOutcome: call.LastSeen, LeaseEnd: time.Duration(call.Until) * time.Millisecond,
 		Wait: time.Duration(call.Wait) * time.Millisecond,
--- a/standin/keyedlog.go
+++ b/standin/keyedlog.go
@@ -31,8 +31,8 @@
 	topics  map[string]*keyedTopic
 	changed chan struct{}
 	down    bool
-	// dropsAnswers makes appends take effect and get no answer.
-	dropsAnswers bool
+	// losesAnswers makes appends take effect and get no answer.
+	losesAnswers bool
 }
 
 // keyedTopic is one topic. The offset of a record is its index.
@@ -73,7 +73,7 @@
 func (k *KeyedLog) SetLosingAnswers(loses bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.dropsAnswers = loses
+	k.losesAnswers = loses
 }
 
 // Put writes a record, as the operator and the workers do. An empty value deletes the key.
@@ -118,7 +118,7 @@
 	for _, r := range records {
 		k.add(topic, r)
 	}
-	if k.dropsAnswers {
+	if k.losesAnswers {
 		dropConnection(c)
 		return
 	}
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -63,8 +63,8 @@
 	delayEveryNth int
 	nthDelay      time.Duration
 	calls         int
-	// dropsAnswers makes the worker execute starts without answering.
-	dropsAnswers bool
+	// losesAnswers makes the worker execute starts without answering.
+	losesAnswers bool
 	// rejects makes the worker reject every start as unhealthy.
 	rejects bool
 }
@@ -124,13 +124,13 @@
 func (h *RunHost) SetLosingAnswers(loses bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropsAnswers = loses
+	h.losesAnswers = loses
 }
 
-func (h *RunHost) isDroppingAnswers() bool {
+func (h *RunHost) isLosingAnswers() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.dropsAnswers
+	return h.losesAnswers
 }
 
 // SetRejecting makes the worker reject all starts as unhealthy, or ends that fault.
@@ -207,7 +207,7 @@
 		return 0, link.HostReply{}, h.awaitTimeout(ctx)
 	}
 	verdict, reply := h.start(s)
-	if h.isDroppingAnswers() {
+	if h.isLosingAnswers() {
 		return 0, link.HostReply{}, fault.InDoubt.New("the connection to worker %s was reset", h.id)
 	}
 	return verdict, reply, nil
@@ -303,7 +303,7 @@
 	h.changed = make(chan struct{})
 }
 
-// Stop stops a run, or prevents it from starting if it has not.
+// Stop stops a run, or prevents it from starting if it has not started yet.
 func (h *RunHost) Stop(ctx context.Context, key contract.RunKey, token uint64) (link.HostReply, error) {
 	if !h.deliver(func() { h.stop(key, token) }) {
 		return link.HostReply{}, h.awaitTimeout(ctx)
--- a/standin/work.go
+++ b/standin/work.go
@@ -17,7 +17,7 @@
 	centsPerDay    = 2500
 )
 
-// DemoWork handles the request kinds of the schema files of both deployments.
+// DemoWork handles the request kinds of the schema files of both example deployments.
 func DemoWork(_, kind string, payload []byte) ([]byte, time.Duration, error) {
 	h := fnv.New32a()
 	// Writing to a hash never fails.
