--- a/load/load_test.go
+++ b/load/load_test.go
@@ -75,7 +75,7 @@
 	require.NotEqual(t, NewSchedule(w, 7).Jobs, NewSchedule(w, 8).Jobs)
 }
 
-// answeredJob is a job of two tasks with one complete and correct answer. Tests record the starts and degrade the
+// answeredJob is a job of two tasks with one complete and correct answer. Tests record the starts and modify the
 // answer.
 type answeredJob struct {
 	record  *JobRecord
@@ -135,8 +135,8 @@
 // Guards against a checker that misses violations: each case violates one guarantee and names the check that must fail.
 func TestCheckerReportsViolations(t *testing.T) {
 	cases := map[string]struct {
-		degrade func(*answeredJob)
-		want    []string
+		modify func(*answeredJob)
+		want   []string
 	}{
 		"correct": {func(a *answeredJob) { a.startAll() }, nil},
 		"wrong result": {func(a *answeredJob) {
@@ -197,7 +197,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			a := newAnsweredJob()
-			c.degrade(a)
+			c.modify(a)
 			require.Equal(t, c.want, a.violatedChecks())
 		})
 	}
--- a/load/process.go
+++ b/load/process.go
@@ -237,14 +237,15 @@
 	return !p.retired
 }
 
-// MarkDisturbed records that a fault has affected the VM's links since its daemon was started.
+// MarkDisturbed records that the daemon has been paused since its start, so that the other entry VMs may count it as
+// gone.
 func (p *EntryProcess) MarkDisturbed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disturbed = true
 }
 
-// Disturbed reports whether a fault has affected the VM's links since its daemon was started.
+// Disturbed reports whether the daemon has been paused since its start.
 func (p *EntryProcess) Disturbed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/load/schema.go
+++ b/load/schema.go
@@ -17,8 +17,8 @@
 	kindReport  = "Report"
 )
 
-// shortKinds are the request kinds of short work. Random draws index this list, so that its order is part of a seed's
-// run.
+// shortKinds are the request kinds of short work. Random draws index this list, so another order changes the run of a
+// seed.
 var shortKinds = [...]string{"Quote", "Order", "Confirm"}
 
 // isStoppable reports whether a straggling task of a kind may be stopped, so that its slot serves other work.
--- a/load/soakconfig.go
+++ b/load/soakconfig.go
@@ -108,11 +108,11 @@
 
 // pollRevisions reads the revision of every entry VM and checks that none decreases.
 func (o *operators) pollRevisions() {
-	var asking sync.WaitGroup
+	var polls sync.WaitGroup
 	for _, p := range o.s.serving() {
-		asking.Go(func() { _, _ = o.revisionOf(p) })
+		polls.Go(func() { _, _ = o.revisionOf(p) })
 	}
-	asking.Wait()
+	polls.Wait()
 }
 
 // revisionOf returns the revision in effect on an entry VM, and false if the VM does not answer or knows none.
--- a/load/soakfault.go
+++ b/load/soakfault.go
@@ -241,7 +241,7 @@
 	}
 }
 
-// recordStop marks the incarnations of a process that was stopped as planned and was not marked as disturbed.
+// recordStop marks the incarnations of a process that was stopped as planned and had not been paused before.
 func (s *Soak) recordStop(p *EntryProcess, begin time.Time) {
 	if !p.Disturbed() {
 		s.markIncarnations(p, s.stopped, begin)
