--- a/soak/check.go
+++ b/soak/check.go
@@ -68,11 +68,11 @@
 	s.mu.Lock()
 	stops := s.stops
 	s.mu.Unlock()
-	for _, p := range stops {
-		if p.daemon == a.daemon && a.sent.Before(p.end.Add(-grace/6)) && a.sent.After(p.begin.Add(-j.limit)) &&
-			lost.After(p.begin) && !lost.After(p.end.Add(time.Second)) && a.elapsed < j.limit {
+	for _, stop := range stops {
+		if stop.daemon == a.daemon && a.sent.Before(stop.end.Add(-grace/6)) && a.sent.After(stop.begin.Add(-j.limit)) &&
+			lost.After(stop.begin) && !lost.After(stop.end.Add(time.Second)) && a.elapsed < j.limit {
 			s.reportViolation(CheckStopCutsNothing, fmt.Sprintf("job %s at %s, sent %v after SIGTERM, lost after %v: %v",
-				j.id, a.daemon.vm, a.sent.Sub(p.begin), a.elapsed, a.err))
+				j.id, a.daemon.vm, a.sent.Sub(stop.begin), a.elapsed, a.err))
 		}
 	}
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -26,12 +26,12 @@
 	"store_cut":          (*Soak).cutStore,
 	"store_silent":       (*Soak).silenceStore,
 	"store_down":         (*Soak).storeDown,
-	"store_loses":        (*Soak).storeLoses,
+	"store_loses":        (*Soak).loseStoreAnswers,
 	"worker_cut":         (*Soak).cutWorker,
 	"worker_silent":      (*Soak).silenceWorker,
 	"worker_slow":        (*Soak).slowWorker,
 	"worker_crash":       (*Soak).crashWorker,
-	"worker_late_orders": (*Soak).lateOrders,
+	"worker_late_orders": (*Soak).delayCalls,
 	"worker_loses":       (*Soak).loseStarts,
 	"worker_rejects":     (*Soak).rejectStarts,
 }
@@ -196,7 +196,7 @@
 	return "store"
 }
 
-func (s *Soak) storeLoses(rng *rand.Rand) string {
+func (s *Soak) loseStoreAnswers(rng *rand.Rand) string {
 	s.store.SetLosingAnswers(true)
 	time.Sleep(faultDuration(rng))
 	s.store.SetLosingAnswers(false)
@@ -245,13 +245,13 @@
 	return w.id
 }
 
-func (s *Soak) lateOrders(rng *rand.Rand) string {
-	each, delay := 5+rng.IntN(10), time.Duration(2000+rng.IntN(6000))*time.Millisecond
+func (s *Soak) delayCalls(rng *rand.Rand) string {
+	n, delay := 5+rng.IntN(10), time.Duration(2000+rng.IntN(6000))*time.Millisecond
 	return s.onWorker(rng, func(h *standin.RunHost, on bool) {
 		if !on {
-			each = 0
+			n = 0
 		}
-		h.SetDelayEveryNth(each, delay)
+		h.SetDelayEveryNth(n, delay)
 	})
 }
 
--- a/soak/watch.go
+++ b/soak/watch.go
@@ -38,9 +38,9 @@
 func (r *runRecorder) Ended(worker string, key contract.RunKey, state contract.RunState, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.tasks[key.Task()] {
-		if s.open && s.key == key && s.worker == worker {
-			s.open, s.end, s.state = false, at, state
+	for _, run := range r.tasks[key.Task()] {
+		if run.open && run.key == key && run.worker == worker {
+			run.open, run.end, run.state = false, at, state
 		}
 	}
 }
@@ -50,8 +50,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, spans := range r.tasks {
-		n += len(spans)
+	for _, runs := range r.tasks {
+		n += len(runs)
 	}
 	return n
 }
@@ -61,9 +61,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []string
-	for _, spans := range r.tasks {
-		for i, a := range spans {
-			for _, b := range spans[i+1:] {
+	for _, runs := range r.tasks {
+		for i, a := range runs {
+			for _, b := range runs[i+1:] {
 				if a.open || b.begin.Before(a.end) {
 					found = append(found, fmt.Sprintf("%s on %s from %v to %v (open %v) and %s on %s from %v",
 						a.key, a.worker, a.begin, a.end, a.open, b.key, b.worker, b.begin))
@@ -92,8 +92,8 @@
 	defer r.mu.Unlock()
 	for i := range tasks {
 		ok := false
-		for _, s := range r.tasks[contract.RunKey{Batch: job, Index: i}] {
-			ok = ok || s.state == contract.RunDone
+		for _, run := range r.tasks[contract.RunKey{Batch: job, Index: i}] {
+			ok = ok || run.state == contract.RunDone
 		}
 		if !ok {
 			return false
