--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -152,10 +152,10 @@
 
 func (d *Daemon) dialPeer(vm, address string) *link.Peer {
 	return link.NewPeer(vm, address, link.PeerOptions{
-		Self:              link.Identity{VM: machine.EntryVM{ID: d.o.Self.VM, Incarnation: d.o.Self.Incarnation}},
-		OnEchoedTimestamp: func(vm string, timestamp uint64) { d.members.RecordTimestamp(vm, timestamp, d.o.Now()) },
-		Dial:              d.o.Dial,
-		Lamport:           func() uint64 { return 0 }, Now: d.o.Now, Logger: d.o.Logger, Metrics: d.o.Metrics,
+		Self:        link.Identity{VM: machine.EntryVM{ID: d.o.Self.VM, Incarnation: d.o.Self.Incarnation}},
+		OnTimestamp: func(vm string, timestamp uint64) { d.members.RecordTimestamp(vm, timestamp, d.o.Now()) },
+		Dial:        d.o.Dial,
+		Lamport:     func() uint64 { return 0 }, Now: d.o.Now, Logger: d.o.Logger, Metrics: d.o.Metrics,
 	})
 }
 
--- a/link/peer.go
+++ b/link/peer.go
@@ -57,8 +57,8 @@
 	OnSent func(vm string, now time.Time)
 	// OnAck is called when a peer has acknowledged an envelope, with the time at which it was sent.
 	OnAck func(vm string, sent time.Time)
-	// OnEchoedTimestamp is called with the peer's timestamp in an acknowledgement.
-	OnEchoedTimestamp func(vm string, timestamp uint64)
+	// OnTimestamp is called with the peer's timestamp in an acknowledgement.
+	OnTimestamp func(vm string, timestamp uint64)
 	// OnDisconnect is called when a connection has ended, so that replies to what was sent over it may never arrive.
 	OnDisconnect func(vm string)
 	// OnRefused is called when a peer refuses this incarnation permanently.
@@ -349,8 +349,8 @@
 			return
 		}
 		p.acknowledge(env.GetAck(), p.o.Now())
-		if timestamp := env.GetStampMs(); timestamp != 0 && p.o.OnEchoedTimestamp != nil {
-			p.o.OnEchoedTimestamp(p.vm, timestamp)
+		if timestamp := env.GetStampMs(); timestamp != 0 && p.o.OnTimestamp != nil {
+			p.o.OnTimestamp(p.vm, timestamp)
 		}
 	}
 }
