--- a/dispatch/backlog.go
+++ b/dispatch/backlog.go
@@ -44,7 +44,7 @@
 	b.compact()
 }
 
-// compact reclaims the space of removed tasks.
+// compact reclaims the space of removed arrivals once all or at least 1024 are removed, so that few calls copy.
 func (b *backlog) compact() {
 	if b.head < len(b.arrivals) && b.head < 1024 {
 		return
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -29,8 +29,8 @@
 	benchService = "bench.v1.Work"
 	benchSelf    = "entry-0"
 	benchWorkers = 187
-	benchSlots   = 8
-	benchTasks   = 50
+	benchSlots   = 8  // per worker
+	benchTasks   = 50 // per job
 	benchJobs    = 16 // concurrent jobs
 )
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -55,14 +55,14 @@
 // Dispatcher is the home of jobs, the member that answers for them: it accepts them, starts their tasks and keeps their
 // answers. mu guards the fields below it; each service scheduler has its own lock.
 type Dispatcher struct {
-	o        Options
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	counters counters
-	teams    *customer.Teams
-	tasks    *runningTasks
-	retries  RetryBudget
+	o          Options
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	counters   counters
+	teams      *customer.Teams
+	tasks      *runningTasks
+	retries    RetryBudget
 
 	mu         sync.RWMutex
 	schedulers map[string]*Scheduler
@@ -299,7 +299,7 @@
 // execute carries out a plan. The lock of the scheduler must not be held.
 func (d *Dispatcher) execute(sched *Scheduler, p Plan) {
 	for _, a := range p.Assignments {
-		d.running.Add(1)
+		d.goroutines.Add(1)
 		go d.run(sched, a)
 	}
 	if len(p.Returns) > 0 {
@@ -351,5 +351,5 @@
 // Close cancels all pending calls and waits until every task goroutine has returned.
 func (d *Dispatcher) Close() {
 	d.cancel()
-	d.running.Wait()
+	d.goroutines.Wait()
 }
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -66,6 +66,7 @@
 	}
 }
 
+// retract withdraws failures that were attributed to workers and turned out to be the fault of a job or kind.
 func (d *Dispatcher) retract(cause backend.FailureCause, now time.Time) {
 	for id, failures := range cause.Retract {
 		if w, ok := d.o.Fleet.Get(machine.WorkerID(id)); ok && w.Retract(failures, now) {
--- a/dispatch/match.go
+++ b/dispatch/match.go
@@ -73,7 +73,7 @@
 	items := make([]customer.Item, 0, min(idle, depth.Short+depth.Long))
 	long := 0
 	for len(items) < idle {
-		// Short tasks may have taken all but idle-len(items) slots, including those for long work.
+		// Long tasks are also limited by the slots that remain, because short tasks may take slots for long work.
 		it, ok := sched.queue.Pop(long < min(idleLong, idle-len(items)))
 		if !ok {
 			break
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -198,7 +198,8 @@
 		b.run(3 * time.Second)
 		w, _ := b.fleet.Get("a")
 		require.NotEqual(t, machine.Healthy, w.HealthAt(time.Now()))
-		// Three unproven failures, the suspect worker's single slot until another worker has succeeded, and the probes.
+		// The worker may start tasks until three failures make it suspect, then one at a time until it is quarantined
+		// (its failures count for that only after other workers have succeeded), and then only probes.
 		require.LessOrEqual(t, b.workers.starts["a"], 16)
 		for _, id := range b.broker.workers[1:] {
 			w, _ := b.fleet.Get(id)
@@ -246,8 +247,8 @@
 	})
 }
 
-// Guards against a straggler that holds its slot until it ends or is reported as not run, and against a lease that
-// expires while its home node is alive.
+// Guards against a straggler that holds its slot until it ends although an action is declared for its kind, against a
+// stopped straggler that is reported as not run, and against a lease that expires while its home node is alive.
 func TestStragglers(t *testing.T) {
 	for action, freed := range map[backend.StragglerAction]bool{
 		backend.StragglerStop: true, backend.StragglerThrottle: true, backend.StragglerWait: false,
@@ -264,7 +265,7 @@
 			require.Equal(t, freed, len(b.workers.actions) > 0)
 			p, err := b.table.Progress(next)
 			require.NoError(t, err)
-			require.Equal(t, freed, p.Waiting == 0, "the next task has the slot")
+			require.Equal(t, freed, p.Waiting == 0, "the next task starts if and only if the straggler has given up its slot")
 			if action == backend.StragglerStop {
 				require.Equal(t, contract.OutcomeFailed, b.answer(t, id).Reports[0].Outcome)
 				require.Positive(t, b.answer(t, id).Reports[0].RunTime)
@@ -363,7 +364,8 @@
 	})
 }
 
-// Guards against quota that is not offered to waiting tasks after a task has ended or a share has grown.
+// Guards against more running tasks than the team's quota allows, and against quota that is not offered to waiting
+// tasks after a task has ended or a share has grown.
 func TestQuotaBoundsRunningTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(1, 8, []backend.KindSpec{testKind}, runsFor(100*time.Millisecond))
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -38,8 +38,8 @@
 
 type candidate struct {
 	PlacementWorker
-	inFlight int
-	avoid    time.Time
+	inFlight   int
+	avoidUntil time.Time
 }
 
 // NewPlacement returns the placement of a baseline policy, or nil for the default policy.
@@ -90,7 +90,7 @@
 	return w.ID, true
 }
 
-// pick expects p.mu to be held.
+// pick returns the worker that the policy chooses, or nil if none is usable. It expects p.mu to be held.
 func (p *Placement) pick(all []*candidate, now time.Time) *candidate {
 	first := p.pickOne(all, nil, now)
 	if first == nil || p.policy == PolicyRandom {
@@ -109,7 +109,7 @@
 	if len(all) == 0 {
 		return nil
 	}
-	usable := func(w *candidate) bool { return w != except && w.inFlight < w.Slots && !now.Before(w.avoid) }
+	usable := func(w *candidate) bool { return w != except && w.inFlight < w.Slots && !now.Before(w.avoidUntil) }
 	for range randomDraws {
 		if w := all[p.random.IntN(len(all))]; usable(w) {
 			return w
@@ -150,7 +150,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.release(id); w != nil {
-		w.avoid = now.Add(avoidDuration)
+		w.avoidUntil = now.Add(avoidDuration)
 	}
 }
 
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -11,6 +11,7 @@
 )
 
 const (
+	// defaultDeadline applies to a job without a deadline whose first request kind declares none either.
 	defaultDeadline = 10 * time.Second
 	// shortLease and longLease are how long a task of a class continues to run after its home node has died. A start
 	// without an answer for that long is in doubt, so they exceed the run time of most tasks of the class.
@@ -28,7 +29,7 @@
 
 // run starts one task and records its outcome.
 func (d *Dispatcher) run(sched *Scheduler, a Assignment) {
-	defer d.running.Done()
+	defer d.goroutines.Done()
 	ticket, ok := d.o.Table.Start(a.Item.Task, string(a.Slot.Worker))
 	if !ok {
 		// The job was cancelled while the task waited.
@@ -122,7 +123,8 @@
 	if !requeue || d.failExpired(&a, now) {
 		return
 	}
-	d.o.Logger.Debug("start rejected", "task", a.Item.Task, "worker", a.Slot.Worker, "error", cause)
+	d.o.Logger.Debug("task was not started; it is queued again after a delay",
+		"task", a.Item.Task, "worker", a.Slot.Worker, "error", cause)
 	select {
 	case <-time.After(d.retryPause(a.Item.Attempts, full)):
 	case <-d.ctx.Done():
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -49,7 +49,7 @@
 	released bool
 }
 
-// runningTasks holds the tasks that this home node has started, in shards by task.
+// runningTasks holds the tasks that this home node has started, in shards by task. mu guards lastCheck.
 type runningTasks struct {
 	shards [runningShards]runningShard
 
@@ -198,12 +198,12 @@
 			continue
 		}
 		if x.renew {
-			d.running.Go(func() { d.renew(x.task) })
+			d.goroutines.Go(func() { d.renew(x.task) })
 		}
 		if x.decision.Straggler != backend.StragglerWait {
 			d.counters.stragglers.Inc(1)
 			d.o.Timeline.Task(timeline.TaskStraggling, x.task.req.Ticket.Task, x.task.req.Worker, "straggler")
-			d.running.Go(func() { d.applyAction(x.task, x.decision.Straggler) })
+			d.goroutines.Go(func() { d.applyAction(x.task, x.decision.Straggler) })
 		}
 	}
 }
@@ -226,7 +226,8 @@
 func (d *Dispatcher) applyAction(t *runningTask, action backend.StragglerAction) {
 	reply, err := d.o.Control.ApplyAction(d.ctx, t.req, action)
 	if err != nil {
-		d.o.Logger.Debug("straggler action failed", "task", t.req.Ticket.Task, "worker", t.req.Worker, "error", err)
+		d.o.Logger.Debug("straggler action failed and is not repeated",
+			"task", t.req.Ticket.Task, "worker", t.req.Worker, "error", err)
 		return
 	}
 	if !reply.SlotFreed || action == backend.StragglerStop {
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -15,8 +15,9 @@
 	// idleTimeout is how long a slot leased from another entry VM may stay idle before it is returned, while its
 	// allocator has other free slots: returning it and granting it again costs messages.
 	idleTimeout = 50 * time.Millisecond
-	// unusedTimeout is how long a granted slot waits for its first task while free slots are scarce. Slots already in
-	// use may serve the tasks for which it was requested; returning it at once would waste the message.
+	// unusedTimeout is how long a granted slot waits for its first task while free slots are scarce. The tasks for which
+	// it was requested may have started on slots that the VM already held; returning the slot at once would then waste
+	// the message that granted it.
 	unusedTimeout = 10 * time.Millisecond
 	// piggybackIdle is the idle time after which a slot is returned along with others of the same allocator.
 	piggybackIdle = 15 * time.Millisecond
@@ -155,8 +156,8 @@
 	return plan
 }
 
-// Recall returns up to n idle slots of an allocator that no task waits for. The remaining ones of the n are returned as
-// they become free.
+// Recall returns up to n idle slots of an allocator that no task waits for. If there are fewer, the rest of the n slots
+// are returned as they become free. wait is how long the oldest task of the requesting member has waited.
 func (sched *Scheduler) Recall(allocator string, n int, wait time.Duration, now time.Time) Plan {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
@@ -254,7 +255,8 @@
 	if sched.holdings.Idle() > 0 && depth.Short == 0 {
 		scarce := sched.o.Scarce(sched.service.Name())
 		plan.Returns = append(plan.Returns, sched.returns(sched.holdings.DropIdle(func(s contract.Slot) bool {
-			// Long work may wait for slots within its share, which only the allocator can grant.
+			// If long work waits, idle slots for short work are returned as well: only the allocator can grant them for
+			// long work, within its share.
 			return (scarce && s.Used) || (depth.Long > 0 && !s.Long) || sched.o.Allocator(s.Worker) == sched.o.Self
 		}))...)
 	}
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -216,13 +216,13 @@
 	now = now.Add(100 * time.Millisecond)
 	sched.Recall(testRemote, 1, 110*time.Millisecond, now)
 	kept := sched.Release(plan.Assignments[0].Slot, now)
-	require.Empty(t, kept.Returns, "the work of the requesting member is hardly older")
+	require.Empty(t, kept.Returns, "the slot is kept, as the requesting member's work is hardly older")
 	require.Len(t, kept.Assignments, 1)
 	sched.Recall(testRemote, 1, 300*time.Millisecond, now)
 	returned := sched.Release(plan.Assignments[1].Slot, now)
 	require.Len(t, returned.Returns, 1)
 	require.Empty(t, returned.Assignments)
-	require.Empty(t, sched.Release(kept.Assignments[0].Slot, now).Returns, "only as many as were recalled")
+	require.Empty(t, sched.Release(kept.Assignments[0].Slot, now).Returns, "no more slots are returned than were recalled")
 }
 
 // Guards against idle slots that are withheld from other entry VMs: slots of own workers are returned at once, others
@@ -239,7 +239,7 @@
 	require.Len(t, sched.Tick(now.Add(idleTimeout)).Returns, 1)
 	scarce = true
 	plan = sched.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
-	require.Empty(t, plan.Returns, "a slot without a task yet waits for one")
+	require.Empty(t, plan.Returns, "an unused slot is kept for a first task")
 	require.Len(t, sched.Tick(now.Add(unusedTimeout)).Returns, 1)
 	sched.AddGrants([]contract.SlotGrant{{Worker: "fast", Short: 1, TTL: time.Minute}}, now)
 	plan = sched.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
--- a/dispatch/schedulergates_test.go
+++ b/dispatch/schedulergates_test.go
@@ -41,15 +41,15 @@
 
 // Guards against a home node that resumes after a pause and starts tasks that other members have answered as lost.
 func TestSchedulerSuspendedWithoutMayStart(t *testing.T) {
-	may := false
+	mayStart := false
 	sched := newTestScheduler(nil)
-	sched.o.MayStart = func() bool { return may }
+	sched.o.MayStart = func() bool { return mayStart }
 	now := time.Unix(1000, 0)
 	sched.Push([]customer.Item{testItem(1, backend.ClassShort, time.Second, now)}, now)
 	require.Empty(t, sched.AddGrants([]contract.SlotGrant{
 		{Worker: "slow", Short: 1, Epoch: 1, TTL: time.Minute},
 	}, now).Assignments)
 	require.True(t, sched.Check(), "a suspended scheduler may hold idle slots while tasks wait")
-	may = true
+	mayStart = true
 	require.Len(t, sched.Tick(now).Assignments, 1)
 }
