--- a/customer/admission.go
+++ b/customer/admission.go
@@ -75,31 +75,31 @@
 	k = q.teams.Flow(k)
 	customerWeight, teamWeight := q.teams.Weights(k.Customer, k.Team)
 	b := Backlog{Work: c.totals.Work, Customer: Competition{Share: 1}, Team: Competition{Share: 1}}
-	waiting := customerWeight
+	totalWeight := customerWeight
 	for name, cf := range c.customers {
 		if name != k.Customer {
 			b.Customer.add(&cf.rate, cf.tasks, q.now)
 		}
 		if name != k.Customer && cf.tasks > 0 {
-			waiting += cf.weight
+			totalWeight += cf.weight
 		}
 	}
-	b.Customer.Share = customerWeight / waiting
+	b.Customer.Share = customerWeight / totalWeight
 	cf := c.customers[k.Customer]
 	if cf == nil {
 		return b
 	}
 	b.CustomerWork = cf.work
-	waiting = teamWeight
+	totalWeight = teamWeight
 	for name, f := range cf.teams {
 		if name != k.Team {
 			b.Team.add(&f.rate, f.tasks, q.now)
 		}
 		if name != k.Team && f.tasks > 0 {
-			waiting += f.weight
+			totalWeight += f.weight
 		}
 	}
-	b.Team.Share = teamWeight / waiting
+	b.Team.Share = teamWeight / totalWeight
 	if f := cf.teams[k.Team]; f != nil {
 		b.Due = f.due.list()
 	}
@@ -141,21 +141,22 @@
 	if slots <= 0 {
 		return refuse(maxRetryAfter, allowed)
 	}
+	// The wait ends with the start of the last task, so that task's own work is not part of it.
 	rest := max(0, l.Work-l.Typical)
-	mine := b.Customer.slots(slots)
-	own := wait(b.CustomerWork, rest, mine)
-	if own <= allowed {
-		return Verdict{Admit: true, Wait: own}
+	customerSlots := b.Customer.slots(slots)
+	customerWait := wait(b.CustomerWork, rest, customerSlots)
+	if customerWait <= allowed {
+		return Verdict{Admit: true, Wait: customerWait}
 	}
-	team, laterMet := b.teamWait(l, rest, b.Team.slots(mine), now)
-	if laterMet && team <= allowed {
-		return Verdict{Admit: true, Wait: team}
+	teamWait, laterMet := b.teamWait(l, rest, b.Team.slots(customerSlots), now)
+	if laterMet && teamWait <= allowed {
+		return Verdict{Admit: true, Wait: teamWait}
 	}
-	return refuse(min(own, team), allowed)
+	return refuse(min(customerWait, teamWait), allowed)
 }
 
 // teamWait returns the wait behind the team's work with no later deadline, and whether the team's work with later
-// deadlines still meets them.
+// deadlines still meets them. rest is the work of the job itself before its last task starts.
 func (b Backlog) teamWait(l Load, rest time.Duration, slots float64, now time.Time) (time.Duration, bool) {
 	ahead := time.Duration(0)
 	for _, d := range b.Due {
--- a/customer/admission_test.go
+++ b/customer/admission_test.go
@@ -160,7 +160,7 @@
 }
 
 // Guards against quota shares that oscillate, become negative or leave a demand unmet that the quota covers.
-func TestQuotaToGiveConverges(t *testing.T) {
+func TestTransferAmountConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) int { return rapid.IntRange(0, 100).Draw(t, label) }
 		a, b := QuotaNeed{Held: draw("held a"), Demand: draw("a")}, QuotaNeed{Held: draw("held b"), Demand: draw("b")}
--- a/customer/flow.go
+++ b/customer/flow.go
@@ -26,15 +26,17 @@
 	ready     indexedHeap[*customerFlow]
 	overQuota *list.List
 	overRate  indexedHeap[*teamFlow]
-	virtual   float64
+	// virtual is the highest virtual time of a customer at which a task was taken. A customer whose work begins to wait
+	// continues from this time or from its own, if that is later.
+	virtual float64
 	// maxVirtual is the highest virtual time of any customer; virtual is advanced to it when nothing waits.
 	maxVirtual float64
 	// served is the virtual time of the class, which is compared with that of the other class.
 	served float64
 	totals Totals
-	// parked is the number of tasks of the teams in overQuota.
-	parked int
-	rate   meter
+	// overQuotaTasks is the number of tasks of the teams in overQuota.
+	overQuotaTasks int
+	rate           meter
 }
 
 // Totals counts waiting tasks.
@@ -49,9 +51,10 @@
 // customerFlow is the waiting work of one customer within a class. Its virtual time advances by the started work
 // divided by the customer's weight; the flow with the smallest virtual time is served next.
 type customerFlow struct {
-	name           string
-	weight         float64
-	virtual        float64
+	name    string
+	weight  float64
+	virtual float64
+	// teamVirtual and maxTeamVirtual are for the teams what virtual and maxVirtual of the class are for the customers.
 	teamVirtual    float64
 	maxTeamVirtual float64
 	index          int
@@ -73,27 +76,28 @@
 
 // teamFlow is the waiting work of one team within a class.
 type teamFlow struct {
-	key       TeamKey
-	customer  *customerFlow
-	weight    float64
-	virtual   float64
-	state     flowState
-	index     int
-	parkedAt  *list.Element
-	retry     time.Time
-	jobs      indexedHeap[*jobEntry]
-	tasks     int
-	work      time.Duration
-	due       dueProfile
-	startable int
-	rate      meter
+	key              TeamKey
+	customer         *customerFlow
+	weight           float64
+	virtual          float64
+	state            flowState
+	index            int
+	overQuotaElement *list.Element
+	retry            time.Time
+	jobs             indexedHeap[*jobEntry]
+	tasks            int
+	work             time.Duration
+	due              dueProfile
+	startable        int
+	rate             meter
 }
 
 func (f *customerFlow) position() *int { return &f.index }
 
 func (f *teamFlow) position() *int { return &f.index }
 
-// evictIdle removes flows that are indistinguishable from new ones, so that names invented by callers cannot pile up.
+// evictIdle removes flows that are indistinguishable from new ones, so that the memory for names invented by
+// callers is bounded.
 func (c *classQueue) evictIdle() {
 	if len(c.customers) < evictionThreshold+2*len(c.ready.items) {
 		return
@@ -136,7 +140,7 @@
 	f.work += work
 	f.due.add(it.Deadline, work)
 	if f.state == flowOverQuota {
-		c.parked += n
+		c.overQuotaTasks += n
 	}
 	if cf.tasks == 0 {
 		cf.teamVirtual = max(cf.teamVirtual, cf.maxTeamVirtual)
@@ -160,8 +164,8 @@
 			c.ready.push(f.customer)
 		}
 	case flowOverQuota:
-		f.parkedAt = c.overQuota.PushBack(f)
-		c.parked += f.tasks
+		f.overQuotaElement = c.overQuota.PushBack(f)
+		c.overQuotaTasks += f.tasks
 	case flowOverRate:
 		c.overRate.push(f)
 	}
@@ -175,9 +179,9 @@
 			c.ready.remove(f.customer)
 		}
 	case flowOverQuota:
-		c.overQuota.Remove(f.parkedAt)
-		f.parkedAt = nil
-		c.parked -= f.tasks
+		c.overQuota.Remove(f.overQuotaElement)
+		f.overQuotaElement = nil
+		c.overQuotaTasks -= f.tasks
 	case flowOverRate:
 		c.overRate.remove(f)
 	}
--- a/customer/job.go
+++ b/customer/job.go
@@ -13,12 +13,12 @@
 
 // jobEntry holds the waiting tasks of a job within a team and class.
 type jobEntry struct {
-	id       contract.JobID
-	flow     *teamFlow
-	index    int
-	priority int
-	due      int64
-	arrived  time.Time
+	id        contract.JobID
+	flow      *teamFlow
+	index     int
+	priority  int
+	dueBucket int64 // the deadlineBucket of the job's deadline
+	arrived   time.Time
 	// items are sorted by expected run time if sorted is set. The longest task, which determines when the job
 	// completes, is the last item and is taken first.
 	items  []Item
@@ -29,7 +29,7 @@
 
 func newJobEntry(f *teamFlow, first *Item) *jobEntry {
 	return &jobEntry{
-		id: first.Task.Job, flow: f, index: notQueued, priority: first.Priority, due: deadlineBucket(first.Deadline),
+		id: first.Task.Job, flow: f, index: notQueued, priority: first.Priority, dueBucket: deadlineBucket(first.Deadline),
 		arrived: first.Enqueued,
 	}
 }
@@ -41,8 +41,8 @@
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
-	if a.due != b.due {
-		return a.due < b.due
+	if a.dueBucket != b.dueBucket {
+		return a.dueBucket < b.dueBucket
 	}
 	if len(a.items) != len(b.items) {
 		return len(a.items) < len(b.items)
@@ -100,7 +100,7 @@
 		it.Deadline = deadline
 	}
 	if !deadline.IsZero() {
-		j.due = deadlineBucket(deadline)
+		j.dueBucket = deadlineBucket(deadline)
 	}
 }
 
--- a/customer/queue.go
+++ b/customer/queue.go
@@ -243,7 +243,7 @@
 		}
 		return Item{}, false
 	}
-	c.overQuota.MoveToBack(f.parkedAt)
+	c.overQuota.MoveToBack(f.overQuotaElement)
 	return q.take(c, f, p), true
 }
 
@@ -397,8 +397,8 @@
 		Short: s.totals.Startable, Long: l.totals.Startable, ShortWork: s.totals.Work, LongWork: l.totals.Work,
 		Waiting: s.totals.Tasks + l.totals.Tasks, Bytes: s.totals.Bytes + l.totals.Bytes,
 	}
-	if s.parked > 0 {
-		d.Short += min(s.parked, q.teams.Spare())
+	if s.overQuotaTasks > 0 {
+		d.Short += min(s.overQuotaTasks, q.teams.Spare())
 	}
 	return d
 }
--- a/customer/team.go
+++ b/customer/team.go
@@ -30,6 +30,7 @@
 	// share is this VM's part of the quota, as a number of slots or of the RateUnits.
 	share   int
 	running int
+	// waiting is set if tasks of the team may be waiting for quota.
 	waiting bool
 	bucket  bucket
 }
@@ -142,13 +143,15 @@
 	teams map[TeamKey]*Team
 }
 
+// weights is the part of the settings that is read without a lock. It is replaced as a whole and never modified.
 type weights struct {
 	customers map[string]float64
 	teams     map[TeamKey]float64
 	domains   []uint16
 }
 
-// Teams holds the limits of all teams on this entry VM, in shards by name. Teams without a quota are not recorded.
+// Teams holds the limits of all teams on this entry VM, in shards by name. Teams without a quota are not recorded. mu
+// guards the fields below it.
 type Teams struct {
 	shards [teamShards]teamShard
 	// idle and borrowed are sums over the shards: the unused slot quota and the running tasks beyond their team's quota.
