--- a/backend/attribution.go
+++ b/backend/attribution.go
@@ -8,7 +8,7 @@
 	// provenSuccesses is the minimum weight of successes on other workers to prove that a kind can succeed.
 	provenSuccesses = 0.5
 	// newKindFailures is the number of consecutive failures on several workers after which a kind that has never
-	// succeeded counts as failing everywhere. usedKindFailures applies to a kind that has succeeded before.
+	// succeeded may count as failing everywhere. usedKindFailures applies to a kind that has succeeded before.
 	newKindFailures  = 6
 	usedKindFailures = 30
 	// failingWorkers is the number of workers on which a kind has to fail, without a success in between, for the
@@ -45,7 +45,7 @@
 	// FailsElsewhere is set if the work fails on several workers and succeeds on none.
 	FailsElsewhere bool
 	// Retract lists the failures by worker that were attributed to the workers and turned out to be the fault of the
-	// job or kind.
+	// job or kind. A worker with 0 failures is listed to end a suspicion for failures without proof.
 	Retract map[string]int
 }
 
@@ -173,9 +173,9 @@
 	}
 }
 
-// FailsEverywhere reports whether the kind fails on every worker; workers is the number of workers that serve it.
-// Failures on a few workers within the run time of a task do not suffice, because tasks that will succeed on other
-// workers may still be running.
+// FailsEverywhere reports whether the kind fails on every worker; workers is the number of workers that serve it, and
+// run is the mean run time of its tasks. Failures on a few workers within this time do not suffice, because tasks that
+// will succeed on other workers may still be running.
 func (a *Attribution) FailsEverywhere(workers int, run time.Duration, now time.Time) bool {
 	failures := newKindFailures
 	if a.succeeded {
--- a/backend/kind.go
+++ b/backend/kind.go
@@ -14,7 +14,7 @@
 	bucketCount = 64
 	// decayInterval is the number of runs after which all counts are halved, so that old run times lose their influence.
 	decayInterval = 2048
-	// minObservations is the number of runs before observations replace the declaration.
+	// minObservations is the number of runs before observations replace the declared run time.
 	minObservations = 20
 	// minClassRuns is the number of runs, completed or reclassified, before observations replace the declared class.
 	// With fewer than stableClassRuns runs, at least half of them also have to be long for a kind to become long: the
@@ -46,15 +46,17 @@
 // measured in rawBuckets. mu guards the fields below it; the atomic fields can be read without the lock.
 type RequestKind struct {
 	class atomic.Uint32
-	mean  atomic.Int64
+	mean  atomic.Int64 // in nanoseconds
 	// failing is set if the last outcome was a failure.
 	failing atomic.Bool
 
-	mu           sync.Mutex
-	spec         KindSpec
-	buckets      [bucketCount]float64
-	rawBuckets   [bucketCount]float64
-	total        float64
+	mu         sync.Mutex
+	spec       KindSpec
+	buckets    [bucketCount]float64
+	rawBuckets [bucketCount]float64
+	total      float64
+	// sum and longSum are the normalised run times of all and of the long runs, in seconds; logSum is the sum of the
+	// logarithms of all of them.
 	sum          float64
 	longSum      float64
 	longRuns     float64
--- a/backend/kind_test.go
+++ b/backend/kind_test.go
@@ -27,8 +27,8 @@
 	require.Equal(t, ClassShort, declaredLong.Class())
 }
 
-// Guards against a bimodal kind whose long runs fill the slots for short work, and against limiting a kind with rare
-// long runs by the cap of long work.
+// Guards against a bimodal kind that counts as short although its long runs hold most of the slots, and against a kind
+// with rare long runs that counts as long and is limited by the cap on long work.
 func TestBimodalKinds(t *testing.T) {
 	often, rarely := NewRequestKind(KindSpec{}), NewRequestKind(KindSpec{})
 	for range 30 {
