--- a/contract/batch.go
+++ b/contract/batch.go
@@ -143,7 +143,8 @@
 
 // Takeover announces that a VM now owns a worker, and which runs it found there.
 type Takeover struct {
-	Worker    string
+	Worker string
+	// StartTime identifies the incarnation of the worker, as in machine.Listing.
 	StartTime int64
 	// Token is the fencing token of the new owner.
 	Token uint64
--- a/contract/claim.go
+++ b/contract/claim.go
@@ -15,9 +15,9 @@
 	KeySkew = time.Minute
 	// ClaimHistory is the age of the oldest record that can affect a claim made now.
 	ClaimHistory = KeyValidity + KeySkew
-	// ClaimRetention is how long after a key's creation its binding is kept in memory. It covers a key that is claimed
-	// in the last minute of its validity until the job's answer is dropped. The log must keep claims for longer than
-	// that.
+	// ClaimRetention is how long after a key's creation its binding is kept in memory. A key that is claimed at the end
+	// of its validity thus stays bound until the answer is dropped, if its job ends within KeySkew. The log must keep
+	// claims for longer than that.
 	ClaimRetention = ClaimHistory + AnswerRetention
 	// MaxKeyBytes bounds the combined length of the customer and text of a key.
 	MaxKeyBytes = 512
@@ -59,11 +59,12 @@
 // claimDigest identifies a key by 16 bytes, so that the memory for a key does not depend on the length of its text.
 type claimDigest [16]byte
 
-// binding takes 32 bytes, 48 with its digest; a map needs somewhat more than twice that, about 100 bytes per key. All
-// readers hold the keys of all failure domains for ClaimRetention: 160 keys a second amount to 64 MB.
+// binding is the job id that a key is bound to, with the creation time of the key. It takes 32 bytes, 48 with its
+// digest; a map needs somewhat more than twice that, about 100 bytes per key. All readers hold the keys of all failure
+// domains for ClaimRetention: 160 keys a second amount to 64 MB.
 type binding struct {
-	job     JobID
-	created int64
+	job           JobID
+	createdUnixMS int64
 }
 
 // ClaimTable holds the bindings that one reader of the stream of claims has seen. mu guards the position and
@@ -73,7 +74,9 @@
 
 	mu   sync.Mutex
 	next uint64
-	gap  bool
+	// gap is set from the time at which records before next are found missing until the record at next is applied, whose
+	// time becomes missingUntil.
+	gap bool
 	// missingUntil is the time up to which records may be missing.
 	missingUntil time.Time
 }
@@ -155,7 +158,7 @@
 	case !t.complete(c.Key):
 		return ClaimDecision{Claim: c, Result: ClaimUndecided}
 	}
-	s.bindings[digest] = binding{job: c.Job, created: c.Key.CreatedUnixMS}
+	s.bindings[digest] = binding{job: c.Job, createdUnixMS: c.Key.CreatedUnixMS}
 	return ClaimDecision{Claim: c, Result: ClaimBound, Winner: c.Job}
 }
 
@@ -186,7 +189,7 @@
 		s := &t.shards[i]
 		s.mu.Lock()
 		for d, b := range s.bindings {
-			if b.created < oldest {
+			if b.createdUnixMS < oldest {
 				delete(s.bindings, d)
 				n++
 			}
--- a/contract/configstate.go
+++ b/contract/configstate.go
@@ -16,7 +16,8 @@
 	// quarter of the shortest retention for which the log is set up, 24 h.
 	snapshotEvery = 256
 	snapshotAge   = 6 * time.Hour
-	// snapshotMargin is the distance from the oldest kept record at which a snapshot is due immediately.
+	// snapshotMargin is the minimum number of records between the oldest one that the log keeps and the oldest one that
+	// is needed. With fewer, a snapshot is due immediately, before the log drops a record that is needed.
 	snapshotMargin = 64
 )
 
@@ -32,7 +33,7 @@
 	document ConfigDocument
 	recent   []ConfigOrigin
 
-	// After a gap, records are held until a snapshot covers what is missing.
+	// After a gap, records from the offset gapFirst on are held until a snapshot covers what is missing.
 	gap      bool
 	gapFirst uint64
 	held     []heldRecord
@@ -147,7 +148,7 @@
 	return out
 }
 
-// adopt expects s.mu to be held.
+// adopt replaces the state by a snapshot. It expects s.mu to be held.
 func (s *ConfigState) adopt(snap ConfigSnapshot) {
 	s.known = true
 	s.next, s.revision, s.document = snap.Next, snap.Revision, snap.Document
--- a/contract/grant.go
+++ b/contract/grant.go
@@ -166,7 +166,7 @@
 	return s.Expires
 }
 
-// Drop removes a slot that is in use or was already removed from the idle ones.
+// Drop removes a slot that is not idle: one in use, or one that was already taken from the idle slots.
 func (h *Holdings) Drop(s Slot) {
 	w, ok := h.workers[s.Worker]
 	if !ok {
--- a/contract/handover.go
+++ b/contract/handover.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// UnknownAnswer returns the answer to a job whose home is gone. The number of tasks is known only from a submission.
+// UnknownAnswer returns the answer to a job whose home is gone. tasks is 0 if the number of tasks is not known.
 func UnknownAnswer(id JobID, tasks int, reason, detail string) Answer {
 	a := Answer{Job: id, Verdict: VerdictFailed, Reason: reason, Detail: detail}
 	for range tasks {
--- a/contract/handover_test.go
+++ b/contract/handover_test.go
@@ -9,8 +9,8 @@
 	"github.com/cicadadale/cicadadale/fault"
 )
 
-// Guards against running a job at two homes: after Detach the old home never starts it, with or without a reply, and
-// a repeated part does not queue it again at the successor.
+// Guards against running a job at two homes: after Detach the old home never starts it, whether or not the successor
+// replies, and a repeated part does not queue it again at the successor.
 func TestDetachedJobStartsOnlyAtSuccessor(t *testing.T) {
 	home, id := acceptedJob(t, 1)
 	successor := NewJobTable(1, 8)
@@ -23,7 +23,7 @@
 	require.False(t, ok)
 	_, _, err := home.Lookup(id)
 	require.Equal(t, fault.HandedOver.FullName(), fault.Code(err))
-	require.False(t, successor.AdoptJob(specs[0], now), "without a hand-over")
+	require.False(t, successor.AdoptJob(specs[0], now), "no hand-over of the home has begun")
 	require.True(t, successor.Adopt(AdoptedHome{Home: 7}))
 	require.True(t, successor.AdoptJob(specs[0], now))
 	require.False(t, successor.AdoptJob(specs[0], now))
--- a/contract/id.go
+++ b/contract/id.go
@@ -9,10 +9,11 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// idLength is the usual length of an id as text, used as initial capacity.
+// idLength is the usual length of an id as text in bytes, used as initial capacity.
 const idLength = 48
 
-// JobID identifies a job. Only the incarnation Home may start its tasks.
+// JobID identifies a job. Home is the incarnation that minted the id; only it may start the job's tasks, or a successor
+// to which it has handed over the job.
 type JobID struct {
 	Domain zone.DomainID
 	Home   machine.Incarnation
--- a/contract/job.go
+++ b/contract/job.go
@@ -50,7 +50,7 @@
 	state      JobState
 	tasks      []task
 	unfinished int
-	// started counts the starts that are not proven not to have happened.
+	// started counts the starts that have happened or may have happened.
 	started   int
 	cancelled bool
 	accepted  time.Time
@@ -155,8 +155,8 @@
 	close(j.done)
 }
 
-// fire expects the shard lock to be held. The callers check the state first, so an event that the state does not
-// allow is a programming error.
+// fire applies an event to the state of the job. It expects the shard lock to be held. The callers check the state
+// first, so an event that the state does not allow is a programming error.
 func (j *Job) fire(e jobEvent) {
 	if err := fireJob(&j.state, e); err != nil {
 		panic(err)
--- a/contract/jobtable.go
+++ b/contract/jobtable.go
@@ -156,7 +156,8 @@
 	return true
 }
 
-// addFinished expects s.mu to be held and the id to be unknown.
+// addFinished adds a job that has ended with the given answer. It expects s.mu to be held and the id to be unknown or
+// that of a job that was handed over, which the new one replaces.
 func (s *jobShard) addFinished(a Answer, now time.Time) {
 	j := newJob(JobSpec{ID: a.Job}, now)
 	j.answer, j.finished = a, now
--- a/contract/jobtable_rapid_test.go
+++ b/contract/jobtable_rapid_test.go
@@ -14,7 +14,7 @@
 	now             time.Time
 	ids             []JobID
 	tasks           map[JobID]int
-	starts          map[TaskID]int // starts that are not proven not to have happened
+	starts          map[TaskID]int // starts that have happened or may have happened
 	running         map[TaskID]*JobTable
 	answers         map[JobID]Answer
 	detached        []JobSpec
--- a/contract/quotashare.go
+++ b/contract/quotashare.go
@@ -109,8 +109,8 @@
 	return out
 }
 
-// SeededPart returns the initial allocation of a quota to the n-th of several failure domains. The parts add up to
-// the quota.
+// SeededPart returns the initial allocation of a quota to the n-th of several failure domains, counted from 0. The
+// parts add up to the quota.
 func SeededPart(quota, n, domains int) int {
 	if domains <= 0 || n < 0 || n >= domains {
 		return 0
--- a/contract/slotbuckets.go
+++ b/contract/slotbuckets.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// Speeds are compared in steps of 10%, from a quarter to four times the average.
+	// Speeds are compared in steps of 10%, from about a quarter to about four times the average speed.
 	speedStep     = 1.1
 	speedBuckets  = 32
 	averageBucket = speedBuckets / 2
