--- a/zone/allocation.go
+++ b/zone/allocation.go
@@ -8,8 +8,8 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// selfPreference is how much younger the allocator's own work may be and still be served first: its slots need no
-// message.
+// selfPreference is added to the wait of the VM's own tasks when members are compared, because a grant to the VM itself
+// needs no message.
 const selfPreference = 5 * time.Millisecond
 
 type slotClass uint8
@@ -83,15 +83,16 @@
 	a.long.set(w, w.allowsLong())
 }
 
-// drop expects a.mu to be held.
+// drop removes a worker; closing it first takes it out of the heaps and the free count. It expects a.mu to be held.
 func (a *SlotAllocator) drop(w *grantedWorker) {
 	w.closed = true
 	a.update(w)
 	delete(a.workers, w.id)
 }
 
-// setHeld expects a.mu to be held.
-func (a *SlotAllocator) setHeld(w *grantedWorker, member string, c Count, now time.Time) {
+// setHeld replaces the number of slots that a member holds of w; GrantTTL counts from renewed. It expects a.mu to be
+// held.
+func (a *SlotAllocator) setHeld(w *grantedWorker, member string, c Count, renewed time.Time) {
 	old, ok := w.held[member]
 	if !ok && c.Sum() == 0 {
 		return
@@ -101,7 +102,7 @@
 	if c.Sum() == 0 {
 		delete(w.held, member)
 	} else {
-		w.held[member] = heldSlots{Count: c, renewed: now}
+		w.held[member] = heldSlots{Count: c, renewed: renewed}
 	}
 	a.update(w)
 }
--- a/zone/allocator.go
+++ b/zone/allocator.go
@@ -95,13 +95,16 @@
 
 // grantee is the allocator's record of a member.
 type grantee struct {
-	need       Count
+	need Count
+	// shortSince and longSince are the times since which the oldest tasks of need have waited.
 	shortSince time.Time
 	longSince  time.Time
-	refreshed  time.Time
-	seen       time.Time
-	// backlog is the time since which the member's oldest short task has waited; zero if none is known.
-	backlog time.Time
+	// refreshed is the time of the last demand, seen that of the last message.
+	refreshed time.Time
+	seen      time.Time
+	// backlogSince is the time since which the member's oldest short task has waited; zero if none is known.
+	backlogSince time.Time
+	// number is the number of the last grant to the member.
 	number  uint64
 	unacked []unackedGrant
 	// recalled counts slots that were recalled and not yet returned.
@@ -196,9 +199,9 @@
 	m.need = Count{Short: max(0, n.Tasks.Short-unacked.Short), Long: max(0, n.Tasks.Long-unacked.Long)}
 	m.refreshed, m.seen = now, now
 	m.shortSince, m.longSince = now.Add(-n.ShortWait), now.Add(-n.LongWait)
-	m.backlog = time.Time{}
+	m.backlogSince = time.Time{}
 	if n.Tasks.Short > 0 {
-		m.backlog = m.shortSince
+		m.backlogSince = m.shortSince
 	}
 	return a.allocate(now)
 }
@@ -209,9 +212,9 @@
 	defer a.mu.Unlock()
 	m := a.member(member)
 	m.seen = now
-	m.backlog = time.Time{}
+	m.backlogSince = time.Time{}
 	if wait > 0 {
-		m.backlog = now.Add(-wait)
+		m.backlogSince = now.Add(-wait)
 	}
 }
 
@@ -293,7 +296,7 @@
 	a.endTakeover(now)
 	for name, m := range a.members {
 		if name != a.self && now.Sub(m.refreshed) > demandTTL {
-			m.need, m.backlog = Count{}, time.Time{}
+			m.need, m.backlogSince = Count{}, time.Time{}
 		}
 		if name != a.self && now.Sub(m.seen) > memberRetention {
 			delete(a.members, name)
@@ -315,18 +318,19 @@
 	return a.allocate(now)
 }
 
-// CancelDemand drops the demand of a member that does not respond. The slots that it holds stay counted, because its
-// tasks continue.
+// CancelDemand drops the demand of a member that does not respond and no longer waits for its report. The slots that it
+// holds stay counted, because its tasks continue.
 func (a *SlotAllocator) CancelDemand(member string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.member(member)
-	m.need, m.backlog = Count{}, time.Time{}
+	m.need, m.backlogSince = Count{}, time.Time{}
 	delete(a.awaiting, member)
 }
 
-// AwaitReport prepares for a member that responds again: another allocator may have granted it slots of any worker
-// here. No slot is granted until the member has reported, or for TakeoverWait, and no slot is withheld after that.
+// AwaitReport stops all grants when a member responds again, because another allocator may have granted it slots of any
+// worker here. Grants resume once all awaited members have reported or TakeoverWait has passed. No slot is withheld any
+// longer, because the report shows which slots the member holds.
 func (a *SlotAllocator) AwaitReport(member string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/zone/allocator_test.go
+++ b/zone/allocator_test.go
@@ -109,8 +109,8 @@
 	m.receive(m.allocator.Report(name, held, m.number[name], false, m.now))
 }
 
-// Guards the counts of an allocator: never more than a worker's slots, long work within its share, no grants to
-// members that are gone, no free slot while a demand could use it, and no slot lost once all are returned.
+// Guards against an allocator that grants more slots than a worker has, more long slots than their share allows, or
+// slots to a member that is gone, that leaves a slot free while a demand could use it, or that loses returned slots.
 func TestAllocatorProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &allocatorModel{
@@ -227,8 +227,8 @@
 	require.Equal(t, 2, allocator.Free())
 }
 
-// Guards fairness: slots are recalled from work that is clearly younger, not from work of about the same age, and no
-// more are recalled while the difference shrinks.
+// Guards against older work that waits while clearly younger work keeps its slots, against recalls from work of about
+// the same age, and against further recalls while the difference shrinks.
 func TestAllocatorRecalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	allocator := NewSlotAllocator(testSelf, 1)
@@ -254,7 +254,8 @@
 	require.Empty(t, allocator.Recalls(later), "the difference shrinks")
 }
 
-// Guards the choice of worker: short work gets the fastest free worker, long work the slowest.
+// Guards against long work that takes the fast workers: short work must get the fastest free worker, long work the
+// slowest.
 func TestAllocatorWorkerChoice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	allocator := NewSlotAllocator(testSelf, 1)
@@ -267,8 +268,7 @@
 	require.Equal(t, Count{Long: 1}, out[1].Slots)
 }
 
-// Guards against requesting slots for a task twice and against demands at an allocator without free slots while
-// another one has some.
+// Guards against requesting slots for a task twice or not at all: the parts of the demand must add up to the need.
 func TestDemandPlannerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewDemandPlanner(testSelf)
--- a/zone/answerlease.go
+++ b/zone/answerlease.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// answerLease is how long an acknowledgement proves that a member has not promised to refuse this home. It is shorter
-// than SilenceLimit by the time that an answer may take from the check of the lease to the caller.
-const answerLease = SilenceLimit - 500*time.Millisecond
-
-// DeclareQuorum returns how many of n listed members have to promise to refuse a silent home before it is declared
-// gone. A home in a domain of two members is never declared gone: the list or the VM's next incarnation has to show
-// that it has ended.
+// answerLeaseTTL is the time after the sending of a message for which its acknowledgement proves that the member has
+// not promised to refuse this home. It is shorter than SilenceLimit by the time that an answer may take from the check
+// of the lease to the caller.
+const answerLeaseTTL = SilenceLimit - 500*time.Millisecond
+
+// DeclareQuorum returns how many members have to promise to refuse a silent home before it is declared gone; n is the
+// number of listed members, including the home's VM. In a domain of two members only one can promise, so the home is
+// never declared gone: the list or the VM's next incarnation has to show that it has ended.
 func DeclareQuorum(n int) int { return n/2 + 1 }
 
 // AnswerLease decides whether a home (the member that accepted a job and answers for it) may still give final
 // answers. Its mutex guards all fields.
 //
 // A member that promises to refuse this home has not received a message from it for SilenceLimit, and so has not
-// acknowledged any message sent within answerLease. While fewer than DeclareQuorum members are in that position, the
-// home is not gone. A member that was never sent a message does not know this incarnation and cannot promise.
+// acknowledged any message sent within answerLeaseTTL. While this holds for fewer than DeclareQuorum members, the home
+// is not gone. A member that was never sent a message does not know this incarnation and cannot promise.
 type AnswerLease struct {
 	mu sync.Mutex
 	// acked holds the send time of the last acknowledged message, or of the first message if none was acknowledged.
@@ -54,7 +55,7 @@
 	defer l.mu.Unlock()
 	silent := 0
 	for _, vm := range members {
-		if sent, ok := l.acked[vm]; ok && now.Sub(sent) > answerLease {
+		if sent, ok := l.acked[vm]; ok && now.Sub(sent) > answerLeaseTTL {
 			silent++
 		}
 	}
--- a/zone/capacity.go
+++ b/zone/capacity.go
@@ -34,9 +34,9 @@
 }
 
 const (
-	// noWorkersWait is the wait at an owner without workers.
+	// noWorkersWait is the wait assumed at an owner without workers.
 	noWorkersWait = time.Hour
-	// minFullWait is the minimum wait at an owner without free capacity.
+	// minFullWait is the minimum wait assumed at an owner without free capacity.
 	minFullWait = 10 * time.Millisecond
 	// sameDomainCost and otherDomainCost are the latency of an order to another VM, within the failure domain and
 	// beyond.
--- a/zone/domain.go
+++ b/zone/domain.go
@@ -23,12 +23,12 @@
 }
 
 const (
-	// SuspectAfter is the time without progress after which a member is suspected.
+	// SuspectAfter is the time without a message after which a member is suspected.
 	SuspectAfter = 1500 * time.Millisecond
 	// GoneAfter is the time as a suspect after which a member counts as gone. With a check every 500 ms its slots are
 	// taken back within 3 s of its last message.
 	GoneAfter = time.Second
-	// SilenceLimit is the time without progress after which a member counts as gone.
+	// SilenceLimit is the time without a message after which a member counts as gone.
 	SilenceLimit = SuspectAfter + GoneAfter
 )
 
@@ -128,7 +128,7 @@
 	return changes
 }
 
-// Tick marks members without progress as suspect, then as gone.
+// Tick marks members that send no messages as suspect, then as gone.
 func (d *FailureDomain) Tick(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/zone/homes.go
+++ b/zone/homes.go
@@ -72,7 +72,8 @@
 	// missing.
 	listed        bool
 	unlistedSince time.Time
-	droppedAt     time.Time
+	// droppedAt is when the list first omitted a VM that it had shown; zero while the VM is listed.
+	droppedAt time.Time
 	// refusalPromised and gone refuse the incarnation permanently.
 	refusalPromised bool
 	gone            bool
@@ -125,8 +126,9 @@
 	}
 }
 
-// endReplaced ends the incarnations that are known only from other members and whose VM still runs another one: if
-// they were newer, that one would have been replaced and be silent. It expects h.mu to be held.
+// endReplaced ends incarnations that are known only from other members, for at least SilenceLimit, while another
+// incarnation of the same VM still sends messages: a newer incarnation would have replaced that one and silenced it. It
+// expects h.mu to be held.
 func (h *Homes) endReplaced(now time.Time) {
 	for inc, r := range h.records {
 		if r.reportedAt.IsZero() || !r.lastContact.IsZero() || now.Sub(r.reportedAt) < SilenceLimit {
@@ -228,8 +230,8 @@
 	return s.Complete
 }
 
-// Silent reports whether a home that was in contact before has been silent for SilenceLimit. With promise set, the
-// home is refused from then on.
+// Silent reports whether a home that was in contact before has been silent for SilenceLimit, is refused or is gone.
+// With promise set, such a home is refused from then on.
 func (h *Homes) Silent(inc machine.Incarnation, promise bool, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -293,7 +295,7 @@
 // HomeReport is the state that a member sends to another one that has just appeared.
 type HomeReport struct {
 	Successions []Succession
-	// Ended and Known name the VM of each incarnation.
+	// Ended holds the VMs of the incarnations that are gone, Known those of all others.
 	Ended map[machine.Incarnation]string
 	Known map[machine.Incarnation]string
 }
@@ -316,8 +318,9 @@
 	return out
 }
 
-// Expire deletes the records of incarnations that ended longer than HomeRetention ago. While there are more than
-// maxHomes records, it also deletes newer ones of incarnations that are not current.
+// Expire deletes the records whose last event is at least HomeRetention ago, except those of current incarnations that
+// are not gone. While there are more than maxHomes records, it also deletes newer ones of incarnations that are not
+// current.
 func (h *Homes) Expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/zone/homes_test.go
+++ b/zone/homes_test.go
@@ -110,10 +110,10 @@
 	d.ApplyList([]Listing{{VM: machine.EntryVM{ID: "a"}, Domain: 1}}, now)
 	d.ObserveMessage("a", 1, false, now)
 	var gone time.Duration
-	for t := time.Duration(0); t <= 3*time.Second; t += 500 * time.Millisecond {
-		for _, c := range d.Tick(now.Add(t)) {
+	for elapsed := time.Duration(0); elapsed <= 3*time.Second; elapsed += 500 * time.Millisecond {
+		for _, c := range d.Tick(now.Add(elapsed)) {
 			if c.To == MemberGone {
-				gone = t
+				gone = elapsed
 			}
 		}
 	}
--- a/zone/recall.go
+++ b/zone/recall.go
@@ -30,7 +30,9 @@
 
 // recallState limits the recalls of an allocator.
 type recallState struct {
-	at        time.Time
+	// at is when slots to recall were last chosen.
+	at time.Time
+	// requester and gap are the requester and the difference of the waits in the last call of gapGrows.
 	requester string
 	gap       time.Duration
 }
@@ -92,8 +94,9 @@
 	for n, held := range slots {
 		m := a.member(n)
 		own := time.Duration(0)
-		if !m.backlog.IsZero() {
-			own = max(1, now.Sub(m.backlog))
+		if !m.backlogSince.IsZero() {
+			// At least 1 ns, because zero means that no task waits.
+			own = max(1, now.Sub(m.backlogSince))
 		}
 		// A member without waiting work may hold idle slots, which it returns whatever the requester's wait is.
 		if n == requester || held-m.recalled <= 0 || (own > 0 && !MayRecall(wait, own)) {
@@ -110,13 +113,15 @@
 	return out
 }
 
-// gapGrows reports whether the difference between the waits still grows. While it shrinks, the slots already recalled
-// suffice, and recalling more would reverse the difference. It expects a.mu to be held.
-func (a *SlotAllocator) gapGrows(requester string, youngest holder, wait time.Duration) bool {
-	gap := wait - youngest.wait
+// gapGrows reports whether the requester's wait exceeds that of the first holder by at least as much as in the previous
+// call. While the difference shrinks, the slots already recalled suffice, and recalling more would reverse it. It also
+// returns true for another requester than before, and for a holder without waiting work, which may hold idle slots. It
+// expects a.mu to be held.
+func (a *SlotAllocator) gapGrows(requester string, first holder, wait time.Duration) bool {
+	gap := wait - first.wait
 	before, same := a.recall.gap, a.recall.requester == requester
 	a.recall.requester, a.recall.gap = requester, gap
-	return youngest.wait == 0 || !same || gap >= before
+	return first.wait == 0 || !same || gap >= before
 }
 
 // outstanding counts the recalled slots that may still be returned. It expects a.mu to be held.
