--- a/machine/fleet.go
+++ b/machine/fleet.go
@@ -82,8 +82,8 @@
 	return all
 }
 
-// CentreSpeeds shifts the speeds of each service so that the average worker has speed 1. Run times and speeds are
-// learned from each other, so without a fixed average both could drift together.
+// CentreSpeeds scales the speeds of each service so that their geometric mean is 1. Run times and speeds are learned
+// from each other, so without a fixed mean both could drift together.
 func (f *Fleet) CentreSpeeds() {
 	byService := make(map[string][]*Worker)
 	for _, w := range f.All() {
--- a/machine/health.go
+++ b/machine/health.go
@@ -28,8 +28,9 @@
 }
 
 const (
-	// suspectScore and quarantineScore bound the tasks lost to a worker that fails everything: it is quarantined after
-	// four failures that are not expected of the kind, and loses in addition only the tasks that run on it at that time.
+	// suspectScore and quarantineScore are the scores at which a worker is suspected and quarantined; a failure of a kind
+	// that never fails elsewhere adds 1. They bound the tasks lost to a worker that fails everything: besides the four
+	// failures that lead to its quarantine, only the tasks that run on it at that time.
 	suspectScore    = 2.0
 	quarantineScore = 4.0
 	// rejectionScore is the weight of a rejected start. Rejections lose no task, so more of them are tolerated.
@@ -37,18 +38,20 @@
 	// unprovenLimit is the number of consecutive failures of kinds that have not succeeded on any worker after which a
 	// worker is suspected. Such failures never cause a quarantine.
 	unprovenLimit = 3
-	// firstHold is the time without new work after the last of these failures; it doubles with each further one. Without
-	// it, a worker that fails immediately would attract all the work before another one has had time to succeed.
+	// firstHold is the time without new work after the last of these failures; it doubles with each further one, up to
+	// holdDoublings times. Without it, a worker that fails immediately would attract all the work before another one has
+	// had time to succeed.
 	firstHold     = 20 * time.Millisecond
 	holdDoublings = 5
 	// suspicionTTL is the time without a failure after which a suspect is healthy again, even if it has run nothing.
 	suspicionTTL = 5 * time.Second
 	// successFactor multiplies the score after a success.
 	successFactor = 0.5
-	// suspectShare is the divisor of a suspect's slots.
-	suspectShare = 4
+	// suspectDivisor divides the number of a suspect's usable slots.
+	suspectDivisor = 4
 	// probesToRecover is the number of consecutive successes after which a probed worker gets its slots back.
 	probesToRecover = 3
+	// A quarantine lasts firstQuarantine, and each further one twice as long as the previous one, up to maxQuarantine.
 	firstQuarantine = time.Second
 	maxQuarantine   = 30 * time.Second
 	// quarantineResetAfter is the time without a quarantine after which the next one lasts firstQuarantine again.
@@ -120,7 +123,7 @@
 	probesPassed   int
 	quarantineTime time.Duration
 	quarantineEnd  time.Time
-	// lastFailure is the time of the last failure.
+	// lastFailure is the time of the last failure or warning, from which suspicionTTL counts.
 	lastFailure time.Time
 	// holdUntil is the end of a suspect's time without new work.
 	holdUntil time.Time
@@ -264,7 +267,7 @@
 		if now.Before(h.holdUntil) {
 			return 0
 		}
-		return min(n, max(1, n/suspectShare))
+		return min(n, max(1, n/suspectDivisor))
 	case Quarantined:
 		return 0
 	case Probing:
--- a/machine/health_test.go
+++ b/machine/health_test.go
@@ -67,8 +67,8 @@
 	require.Equal(t, 8, h.Slots(8, now))
 }
 
-// Guards against invalid states: slots always within the worker's number, none while quarantined, and a worker that
-// only succeeds from some time on becomes healthy again.
+// Guards against a number of slots below 0 or above the worker's, against slots of a quarantined worker, and against a
+// worker that does not become healthy again although it only succeeds from some time on.
 func TestHealthAlwaysRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Health
@@ -143,8 +143,8 @@
 	require.Equal(t, Healthy, h.State())
 }
 
-// Guards against each entry VM losing as many tasks as the first one, and against a warning that alone causes a
-// quarantine.
+// Guards against each entry VM losing as many tasks to a failing worker as the one that quarantined it first, and
+// against a warning that alone causes a quarantine.
 func TestWarningFromOtherVM(t *testing.T) {
 	var h Health
 	require.True(t, h.Warn(epoch))
--- a/machine/host.go
+++ b/machine/host.go
@@ -11,8 +11,9 @@
 	clockMargin = 20 * time.Millisecond
 	// hostSpeedWeight is the weight of one run in the moving average of a worker's speed.
 	hostSpeedWeight = 0.2
-	minSpeed        = 0.05
-	maxSpeed        = 8
+	// minSpeed and maxSpeed bound the speed computed from one run.
+	minSpeed = 0.05
+	maxSpeed = 8
 	// minSuspension and maxSuspension bound the time for which a worker that fails its tasks receives none.
 	minSuspension = 400 * time.Millisecond
 	maxSuspension = 3 * time.Second
@@ -21,8 +22,8 @@
 	failuresToSuspend = 2
 )
 
-// Host is one incarnation of a worker as seen by the VM that owns it. It holds no lock: the pool that contains it
-// guards it.
+// Host is a worker as seen by the VM that owns it. It has no lock of its own: that of the pool that contains it guards
+// it.
 type Host struct {
 	Listing Listing
 	// Token is the fencing token of this ownership; zero until the worker has been acquired.
@@ -32,13 +33,17 @@
 	used        Resources
 	runs        int
 
-	clock     time.Duration
-	clockAt   time.Time
+	// clock is the worker's clock at local time clockAt.
+	clock   time.Duration
+	clockAt time.Time
+	// leaseEnd is the latest end of a lease, on the worker's clock.
 	leaseEnd  time.Duration
 	contacted time.Time
 
-	speed        float64
-	failures     int
+	speed float64
+	// failures counts the failures since the last successful run.
+	failures int
+	// suspension is the length of the last suspension; zero after a successful run.
 	suspension   time.Duration
 	suspendUntil time.Time
 	fullUntil    time.Time
@@ -82,7 +87,7 @@
 	return h.Free().Fits(need)
 }
 
-// SetClock records a reading of the worker's clock that was taken before at.
+// SetClock records a reading of the worker's clock that was received at local time at, and so taken before it.
 func (h *Host) SetClock(reading time.Duration, at time.Time) {
 	if h.clockAt.IsZero() || reading >= h.ClockAt(at) || reading < h.clock {
 		h.clock, h.clockAt = reading, at
--- a/machine/listing.go
+++ b/machine/listing.go
@@ -30,14 +30,15 @@
 	Backend string
 	Address string
 	Zone    string
-	// StartTime is the start time of this incarnation; a worker that restarts under the same name has another one.
+	// StartTime is the start time of this incarnation in Unix milliseconds. A worker that restarts under the same name
+	// has another one.
 	StartTime int64
 	Capacity  Resources
 	Labels    []string
 	Draining  bool
 }
 
-// CanHold reports whether the idle worker can run a task of that size that requires the label, if any.
+// CanHold reports whether the worker, when idle, can run a task of that size that requires the label, if any.
 func (l Listing) CanHold(need Resources, label string) bool {
 	return l.Capacity.Fits(need) && (label == "" || l.HasLabel(label))
 }
