--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -25,7 +25,7 @@
 	StartUnhealthy
 	// StartInvalid means that the worker cannot decode the call.
 	StartInvalid
-	// StartOtherIncarnation means that the worker has been restarted: another worker answers at its address.
+	// StartOtherIncarnation means that a worker with another id answers at the address; the called one no longer runs.
 	StartOtherIncarnation
 )
 
@@ -63,12 +63,13 @@
 	Wait time.Duration
 }
 
-// HostReply is the part that all replies of a worker have in common. StartTime is that of its incarnation.
+// HostReply is the part that all replies of a worker have in common. Clock is the reading of its clock, StartTime the
+// start time of its incarnation in Unix milliseconds.
 type HostReply struct {
 	Clock     time.Duration
 	StartTime int64
-	// Fenced and OtherIncarnation are the reasons for which a call has no effect: a higher fencing token, or another
-	// worker at the address.
+	// Fenced and OtherIncarnation are the reasons for which a call has no effect: the worker has seen a higher fencing
+	// token, or a worker with another id answers at the address.
 	Fenced           bool
 	OtherIncarnation bool
 }
@@ -94,8 +95,8 @@
 	Ended   []EndedRun
 }
 
-// HostCalls is the client of the workers. After an error the outcome of the call is in doubt, unless the error has the
-// trait fault.ProvenNotStarted.
+// HostCalls sends calls to workers. After an error the outcome of the call is in doubt, unless the error has the trait
+// fault.ProvenNotStarted.
 type HostCalls interface {
 	Start(ctx context.Context, a HostAddress, s HostStart) (StartVerdict, HostReply, error)
 	Stop(ctx context.Context, a HostAddress, key contract.RunKey, token uint64) (HostReply, error)
--- a/link/peer.go
+++ b/link/peer.go
@@ -25,6 +25,7 @@
 	// outboxLimit bounds the messages queued on a link. Beyond it or outboxBytes the oldest are dropped. A dropped
 	// request times out at its sender; the protocol tolerates the loss of all other messages.
 	outboxLimit = 8192
+	// batchLimit bounds the messages of one envelope.
 	batchLimit  = 512
 	redialDelay = 200 * time.Millisecond
 	// ackTimeout is the time without an acknowledgement after which a link is considered silent and is replaced. With
@@ -57,7 +58,7 @@
 	OnSent func(vm string, now time.Time)
 	// OnAck is called when a peer has acknowledged an envelope, with the time at which it was sent.
 	OnAck func(vm string, sent time.Time)
-	// OnTimestamp is called with the peer's timestamp in an acknowledgement.
+	// OnTimestamp is called with the peer's timestamp in an acknowledgement, in milliseconds of the peer's clock.
 	OnTimestamp func(vm string, timestamp uint64)
 	// OnDisconnect is called when a connection has ended, so that replies to what was sent over it may never arrive.
 	OnDisconnect func(vm string)
@@ -91,8 +92,10 @@
 
 	mu     sync.Mutex
 	outbox []queuedMessage
-	bytes  int
-	sent   uint64
+	// bytes is the size of the messages in the outbox.
+	bytes int
+	// lastSequence is the number of the last envelope sent on the current stream.
+	lastSequence uint64
 	// unacked holds the envelopes that were sent and not acknowledged, oldest first.
 	unacked []sentEnvelope
 	lastAck time.Time
@@ -180,7 +183,7 @@
 		}
 		p.counter(metric.PeerLinksReplaced).Inc(1)
 		p.o.Timeline.Record(timeline.Event{Kind: timeline.LinkReplaced, Peer: p.vm, Detail: errorText(err)})
-		p.o.Logger.Debug("peer link closed", "peer", p.vm, "error", err)
+		p.o.Logger.Debug("peer link failed; connecting again after a delay", "peer", p.vm, "error", err)
 		select {
 		case <-time.After(redialDelay):
 		case <-ctx.Done():
@@ -238,10 +241,11 @@
 	}
 }
 
+// reset prepares the state for a new stream, whose envelopes are numbered from 1.
 func (p *Peer) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sent = 0
+	p.lastSequence = 0
 	p.unacked = nil
 	p.open, p.dialed = true, true
 }
@@ -308,8 +312,8 @@
 	clear(p.outbox[:n])
 	p.outbox = p.outbox[n:]
 	p.bytes -= size
-	p.sent++
-	sequence := p.sent
+	p.lastSequence++
+	sequence := p.lastSequence
 	p.unacked = append(p.unacked, sentEnvelope{sequence: sequence, sent: p.o.Now()})
 	p.mu.Unlock()
 	env := &api.Envelope{Sequence: sequence, Lamport: p.o.Lamport(), Messages: batch}
--- a/link/peer_test.go
+++ b/link/peer_test.go
@@ -81,8 +81,8 @@
 	return c.Conn.Close()
 }
 
-// Guards against a link that keeps a connection which has become silent permanently and blocks its sender: heartbeats
-// must arrive again within 1.5 s.
+// Guards against a link that never replaces a connection that has become silent and blocks its sender: heartbeats must
+// arrive again within 1.5 s.
 func TestSilentPeerLinkIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
--- a/link/peerserver.go
+++ b/link/peerserver.go
@@ -34,7 +34,7 @@
 	Accepted HandlerResult = iota
 	// Ignored envelopes come from a VM that is not on the VM list; it may be listed again.
 	Ignored
-	// Refused envelopes come from an incarnation that is considered dead.
+	// Refused envelopes come from an incarnation that counts as gone.
 	Refused
 )
 
@@ -49,8 +49,8 @@
 	done      chan struct{}
 }
 
-// ServePeers accepts links on l in the background. timestamp returns the time of this process's own clock, which each
-// acknowledgement carries; it may be nil.
+// ServePeers accepts links on l in the background. timestamp returns the time of this process's own clock in
+// milliseconds, which each acknowledgement carries; it may be nil.
 func ServePeers(l net.Listener, handler PeerHandler, timestamp func() uint64) (*PeerServer, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &PeerServer{handler: handler, timestamp: timestamp, cancel: cancel, done: make(chan struct{})}
@@ -77,6 +77,7 @@
 			return err
 		}
 		if sender == nil {
+			// Only the first envelope of a stream identifies its sender.
 			sender = &api.Envelope{
 				FromVm: env.GetFromVm(), FromIncarnation: env.GetFromIncarnation(), FromDomain: env.GetFromDomain(),
 			}
--- a/link/worker_test.go
+++ b/link/worker_test.go
@@ -216,7 +216,8 @@
 	}
 }
 
-// Guards against a start in doubt although nothing was written: no connection could be opened, or none was free.
+// Guards against reporting a start as in doubt although nothing was written, because no connection could be opened or
+// none was free.
 func TestUnsentStartIsProvenNotStarted(t *testing.T) {
 	s := newWorkerFixture(t, direct)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -243,7 +244,7 @@
 	close(s.release)
 }
 
-// Guards against a late start by a process that was paused between the decision and the sending.
+// Guards against a worker that runs a start after its start-by time, because the home was paused before sending it.
 func TestWorkerRejectsLateStart(t *testing.T) {
 	s := newWorkerFixture(t, direct)
 	close(s.release)
--- a/link/workerlink.go
+++ b/link/workerlink.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// pollMargin is the minimum time from the sending of a start to that of a status poll that counts for it: an
-	// earlier poll may have overtaken the start.
+	// pollMargin is the minimum time between the sending of a start and of a status poll whose report shows whether its
+	// task runs. An earlier poll may have overtaken the start.
 	pollMargin = 200 * time.Millisecond
 	// replyGrace is how long a reply may take after a status report that no longer lists its task. With a poll every
 	// second, a silent connection is detected within 1.5 s of the end of its task.
