--- a/rpc/client.go
+++ b/rpc/client.go
@@ -20,11 +20,13 @@
 )
 
 const (
+	// idBlockSize is the number of job ids that are requested at a time.
 	idBlockSize = 64
-	// maxCallWait bounds the wait within one call, so that a silent connection is detected.
+	// maxCallWait bounds the wait within one call, so that a silent connection is detected. A call without a reply times
+	// out callMargin later.
 	maxCallWait = 2 * time.Second
 	callMargin  = time.Second
-	// minRetryDelay doubles with each attempt up to maxRetryDelay.
+	// minRetryDelay is the delay before the first retry; it doubles with each further one up to maxRetryDelay.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	maxAttempts   = 200
@@ -115,14 +117,14 @@
 	return id, true
 }
 
-// dropIDs discards the prefetched ids of a home that no longer accepts jobs. A job's home is the entry VM that minted
-// its id and answers for it.
-func (c *Client) dropIDs(home contract.JobID) {
+// dropIDs discards the prefetched ids that have the same home as a rejected id. A job's home is the entry VM that
+// minted its id and answers for it.
+func (c *Client) dropIDs(rejected contract.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ids = slices.DeleteFunc(c.ids, func(text string) bool {
 		id, err := contract.ParseJobID(text)
-		return err != nil || id.Home == home.Home
+		return err != nil || id.Home == rejected.Home
 	})
 }
 
@@ -143,7 +145,8 @@
 		return err
 	})
 	if provenNotRun(answer, err, true) {
-		// The home no longer accepts jobs, so that its other ids would fail in the same way.
+		// The home is stopping or gone, or its ids are too old: its other ids would fail in the same way, whether this job
+		// ran or not.
 		c.dropIDs(s.Ref.ID)
 	}
 	return answer, sent, err
@@ -185,16 +188,16 @@
 	return answer, err
 }
 
-// provenNotRun reports whether the job is proven not to have run, so that it may be submitted under another id. first
-// means that no other copy of the submission exists.
-func provenNotRun(a contract.Answer, err error, first bool) bool {
+// provenNotRun reports whether the job is proven not to have run, so that it may be submitted under another id.
+// onlyCopy means that the submission was sent only once.
+func provenNotRun(a contract.Answer, err error, onlyCopy bool) bool {
 	if err != nil {
-		return first && fault.Code(err) == fault.Expired.FullName() && fault.Reason(err) == fault.ReasonIDTooOld
+		return onlyCopy && fault.Code(err) == fault.Expired.FullName() && fault.Reason(err) == fault.ReasonIDTooOld
 	}
 	if a.Verdict == contract.VerdictRefused {
 		return a.Reason == fault.ReasonDraining || a.Reason == fault.ReasonHomeClosed
 	}
-	return first && a.Verdict == contract.VerdictFailed && a.Reason == fault.ReasonHomeGone
+	return onlyCopy && a.Verdict == contract.VerdictFailed && a.Reason == fault.ReasonHomeGone
 }
 
 // Await waits for the final answer of a submitted job.
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -19,10 +19,12 @@
 const (
 	// maxMessageBytes allows for the largest job and the fields around its payloads.
 	maxMessageBytes = contract.MaxJobBytes + 1<<20
-	maxJobIDs       = 10000
+	// maxJobIDs bounds the ids of one CreateJobs call.
+	maxJobIDs = 10000
 )
 
-// Jobs is the dispatcher behind the front end. Submit's errors that prove that no task ran are returned as refusals.
+// Jobs is the dispatcher behind the front end. Callers receive an error of Submit that proves that no task ran as a
+// refusal.
 type Jobs interface {
 	Create(ctx context.Context, n int) ([]contract.JobID, error)
 	Submit(ctx context.Context, s contract.Submission, wait time.Duration) (contract.Answer, error)
