--- a/config/doc.go
+++ b/config/doc.go
@@ -1,2 +1,3 @@
-// Package config reads the TOML settings of the processes and collects all findings about them.
+// Package config reads the TOML settings of the processes, and decodes and checks the configuration documents, patches
+// and log records. It collects all findings instead of stopping at the first.
 package config
--- a/config/document.go
+++ b/config/document.go
@@ -12,22 +12,23 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// document reads a TOML file into a struct and collects all findings. The library's decoder stops at the first
-// value of a wrong type, so the document walks the expressions of the parser itself.
-type document struct {
+// settingsDecoder reads a TOML file into a struct and collects all findings. The library's decoder stops at the first
+// value of a wrong type, so settingsDecoder walks the expressions of the parser itself.
+type settingsDecoder struct {
 	file     string
 	text     []byte
 	fields   map[string]reflect.Value
 	tables   map[string]bool
 	lines    map[string]int
 	findings Findings
-	// broken is set if the walk ended at a syntax error: a missing key may then follow the error.
-	broken bool
+	// syntaxError is set if the walk ended at a syntax error. Missing keys are then not reported, because they may follow
+	// the error.
+	syntaxError bool
 }
 
-// readDocument parses text into the struct that into points to.
-func readDocument(file string, text []byte, into any) *document {
-	d := &document{
+// decodeSettings parses text into the struct that into points to.
+func decodeSettings(file string, text []byte, into any) *settingsDecoder {
+	d := &settingsDecoder{
 		file: file, text: text, fields: make(map[string]reflect.Value), tables: make(map[string]bool),
 		lines: make(map[string]int),
 	}
@@ -38,7 +39,7 @@
 }
 
 // collect indexes the fields of a struct by their dotted keys.
-func (d *document) collect(prefix string, v reflect.Value) {
+func (d *settingsDecoder) collect(prefix string, v reflect.Value) {
 	for i := range v.NumField() {
 		name, ok := v.Type().Field(i).Tag.Lookup("toml")
 		if !ok {
@@ -61,12 +62,12 @@
 	return prefix + "." + name
 }
 
-func (d *document) add(line int, key, format string, args ...any) {
+func (d *settingsDecoder) add(line int, key, format string, args ...any) {
 	d.findings = append(d.findings, Finding{File: d.file, Line: line, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
 // walk visits all expressions up to the first syntax error.
-func (d *document) walk() {
+func (d *settingsDecoder) walk() {
 	var p unstable.Parser
 	p.Reset(d.text)
 	table := ""
@@ -81,7 +82,7 @@
 			d.keyValue(&p, table, e)
 		}
 	}
-	d.broken = p.Error() != nil
+	d.syntaxError = p.Error() != nil
 }
 
 // keyOf returns the dotted key and the line of its first part.
@@ -97,7 +98,7 @@
 	return path, line
 }
 
-func (d *document) openTable(path string, line int, array bool) {
+func (d *settingsDecoder) openTable(path string, line int, array bool) {
 	if d.recordLine(path, line) {
 		return
 	}
@@ -110,7 +111,7 @@
 }
 
 // recordLine records the line of a key. If the key is repeated, it adds a finding and returns true.
-func (d *document) recordLine(path string, line int) bool {
+func (d *settingsDecoder) recordLine(path string, line int) bool {
 	first, ok := d.lines[path]
 	if ok {
 		d.add(line, path, "is set twice; first set on line %d", first)
@@ -120,7 +121,7 @@
 	return false
 }
 
-func (d *document) keyValue(p *unstable.Parser, table string, e *unstable.Node) {
+func (d *settingsDecoder) keyValue(p *unstable.Parser, table string, e *unstable.Node) {
 	path, line := keyOf(p, table, e.Key())
 	if d.recordLine(path, line) {
 		return
@@ -148,25 +149,25 @@
 }
 
 // checkSyntax reports the first violation of the TOML grammar, which the walk does not detect.
-func (d *document) checkSyntax() {
-	var any map[string]any
-	err := toml.Unmarshal(d.text, &any)
+func (d *settingsDecoder) checkSyntax() {
+	var discarded map[string]any
+	err := toml.Unmarshal(d.text, &discarded)
 	if err == nil {
 		return
 	}
-	var decode *toml.DecodeError
-	if !errors.As(err, &decode) {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		d.add(0, "", "%s", err)
 		return
 	}
-	line, _ := decode.Position()
+	line, _ := decodeErr.Position()
 	for _, f := range d.findings {
 		if f.Line == line {
 			// The walk has already reported the same fault, such as a repeated key.
 			return
 		}
 	}
-	d.add(line, strings.Join(decode.Key(), "."), "%s", strings.TrimPrefix(decode.Error(), "toml: "))
+	d.add(line, strings.Join(decodeErr.Key(), "."), "%s", strings.TrimPrefix(decodeErr.Error(), "toml: "))
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
--- a/config/edge.go
+++ b/config/edge.go
@@ -20,7 +20,7 @@
 	lines map[string]int
 }
 
-// EdgeVM identifies the machine. CPUShare is its share of a CPU core.
+// EdgeVM identifies the machine. CPUShare is its share of CPU time, in cores.
 type EdgeVM struct {
 	ID            string  `toml:"id"`
 	FailureDomain string  `toml:"failure_domain"`
@@ -76,10 +76,10 @@
 // ParseEdge reads settings and returns all findings at once, in file order.
 func ParseEdge(file string, text []byte) (Edge, error) {
 	e := Edge{Log: Log{Level: "info", Format: "json"}}
-	d := readDocument(file, text, &e)
+	d := decodeSettings(file, text, &e)
 	e.file, e.lines = file, d.lines
 	findings := d.findings
-	if !d.broken {
+	if !d.syntaxError {
 		findings = append(findings, e.validate()...)
 	}
 	if len(findings) > 0 {
@@ -104,8 +104,8 @@
 
 func (e Edge) validate() Findings {
 	var findings Findings
-	text := []struct{ key, value string }{{"vm.id", e.VM.ID}, {"vm.failure_domain", e.VM.FailureDomain}}
-	for _, t := range text {
+	required := []struct{ key, value string }{{"vm.id", e.VM.ID}, {"vm.failure_domain", e.VM.FailureDomain}}
+	for _, t := range required {
 		if t.value == "" {
 			findings = append(findings, e.finding(t.key, "must be set"))
 		}
--- a/config/entry.go
+++ b/config/entry.go
@@ -123,7 +123,7 @@
 // ParseEntry reads settings and returns all findings at once, in file order.
 func ParseEntry(file string, text []byte) (Entry, error) {
 	e := DefaultEntry()
-	d := readDocument(file, text, &e)
+	d := decodeSettings(file, text, &e)
 	e.file, e.lines = file, d.lines
 	reported := make(map[string]bool)
 	for _, f := range d.findings {
@@ -133,7 +133,7 @@
 	for _, f := range e.validate() {
 		// A field whose value has the wrong type keeps its default, so findings about it do not concern the file.
 		_, set := d.lines[f.Key]
-		if !reported[f.Key] && (set || !d.broken) {
+		if !reported[f.Key] && (set || !d.syntaxError) {
 			findings = append(findings, f)
 		}
 	}
--- a/config/entry_test.go
+++ b/config/entry_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const complete = `[vm]
+const minimalSettings = `[vm]
 id = "entry-1"
 failure_domain = 1
 [platform]
@@ -69,7 +69,7 @@
 
 // Guards against defaults that are not applied and against values that are not read.
 func TestCompleteSettings(t *testing.T) {
-	e, err := ParseEntry("entry.toml", []byte(complete+`[stop]
+	e, err := ParseEntry("entry.toml", []byte(minimalSettings+`[stop]
 drain_timeout = "90s"
 [listen]
 admin = "0.0.0.0:7003"
@@ -110,7 +110,10 @@
 
 // Guards against input that makes the parser panic or that yields findings without a reason.
 func FuzzParseEntry(f *testing.F) {
-	for _, seed := range []string{complete, "", "[vm", "a.b.c=1", "vm={id=1,id=2}", "[[vm]]\n[vm]", "vm=3", "x=1979-05-27T07:32:00Z", "[schema]\nfiles=[[1],{}]", "[vm]\nfailure_domain=0xfffff", "'a'.\"b\"=nan", "\xff"} {
+	for _, seed := range []string{
+		minimalSettings, "", "[vm", "a.b.c=1", "vm={id=1,id=2}", "[[vm]]\n[vm]", "vm=3", "x=1979-05-27T07:32:00Z",
+		"[schema]\nfiles=[[1],{}]", "[vm]\nfailure_domain=0xfffff", "'a'.\"b\"=nan", "\xff",
+	} {
 		f.Add([]byte(seed))
 	}
 	if text, err := os.ReadFile(filepath.Join("..", "examples", "entry-1.toml")); err == nil {
@@ -136,7 +139,7 @@
 	page, err := os.ReadFile(filepath.Join("..", "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
 	var e Entry
-	d := readDocument("f", nil, &e)
+	d := decodeSettings("f", nil, &e)
 	require.NotEmpty(t, d.fields)
 	for key := range d.fields {
 		require.True(t, strings.Contains(string(page), "`"+key+"`"), "docs/OPERATIONS.md does not describe %s", key)
--- a/config/record_test.go
+++ b/config/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// Guards against a decoder that panics on a record or accepts one that cannot be encoded again.
+// Guards against a decoder or check that panics on a record, and against accepting one that cannot be encoded again.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"change":{"id":"i","author":"a","base":1,"patch":{"customers":{"c":{"weight":2},"d":null}}}}`))
 	f.Add([]byte(`{"snapshot":{"next":4,"revision":2,"document":{"kinds":{"s/k":{"class":"long"}}}}}`))
