--- a/schema/load.go
+++ b/schema/load.go
@@ -77,7 +77,8 @@
 	return findings
 }
 
-// Load compiles schema files. The options file is built in. Files that compile are checked even if others fail.
+// Load compiles schema files and returns their services, or all findings if there are any. The options file is built
+// in. Files that compile are checked even if others fail.
 func Load(src Source, names ...string) ([]*backend.Service, []Finding) {
 	files, findings := compile(src, names)
 	var services []*backend.Service
@@ -100,7 +101,7 @@
 	return services, nil
 }
 
-// ordered sorts findings by file, in the order of names, and by position.
+// ordered sorts findings in place by file, in the order of names, and by position, and returns them.
 func ordered(findings []Finding, names []string) []Finding {
 	sort.SliceStable(findings, func(i, j int) bool {
 		a, b := findings[i], findings[j]
@@ -172,10 +173,10 @@
 		findings = append(findings, findingAt(file, d, err.Error()))
 	}
 	findings = append(findings, checkMillis(file, d, "default_deadline_ms", opts.GetDefaultDeadlineMs())...)
-	fallback := time.Duration(opts.GetDefaultDeadlineMs()) * time.Millisecond
+	defaultDeadline := time.Duration(opts.GetDefaultDeadlineMs()) * time.Millisecond
 	var kinds []backend.KindSpec
 	for i := range d.Methods().Len() {
-		k, more := readKind(file, d.Methods().Get(i), fallback)
+		k, more := readKind(file, d.Methods().Get(i), defaultDeadline)
 		findings = append(findings, more...)
 		kinds = append(kinds, k)
 	}
@@ -185,7 +186,9 @@
 	return backend.NewService(string(d.FullName()), kinds), findings
 }
 
-func readKind(file string, d protoreflect.MethodDescriptor, fallback time.Duration) (backend.KindSpec, []Finding) {
+func readKind(
+	file string, d protoreflect.MethodDescriptor, defaultDeadline time.Duration,
+) (backend.KindSpec, []Finding) {
 	var findings []Finding
 	opts := &schemaopts.RequestKind{}
 	if err := extension(d.Options(), schemaopts.E_RequestKind, opts); err != nil {
@@ -208,7 +211,7 @@
 		Expected:    time.Duration(opts.GetExpectedMs()) * time.Millisecond,
 	}
 	if k.Deadline == 0 {
-		k.Deadline = fallback
+		k.Deadline = defaultDeadline
 	}
 	if k.Deadline > 0 && k.Expected > k.Deadline {
 		findings = append(findings, findingAt(file, d,
