--- a/admin/server_test.go
+++ b/admin/server_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// Guards against a load balancer that keeps sending callers to a VM that rejects them.
+// Guards against a load balancer that keeps sending callers to a VM that rejects them, and against a health check that
+// does not report a process that should be replaced.
 func TestHealthAndReadinessFollowTheSource(t *testing.T) {
 	src := &fakeSource{readiness: Readiness{Reasons: []string{"draining", "no configuration"}}}
 	get := serveFake(t, src, metrics.NewRegistry())
--- a/admin/view.go
+++ b/admin/view.go
@@ -91,7 +91,8 @@
 	Long  int    `json:"long"`
 }
 
-// QuotaView shows the quota of a team and the share of it that this entry VM holds.
+// QuotaView shows the quota of a team and the share of it that this entry VM holds, both in slots, or in
+// customer.RateUnits if the quota limits only the start rate. Waiting reports whether tasks of the team wait for quota.
 type QuotaView struct {
 	Customer string `json:"customer"`
 	Team     string `json:"team"`
@@ -114,7 +115,7 @@
 	Kinds []KindView `json:"kinds"`
 }
 
-// KindView is a request kind with its observed class.
+// KindView is a request kind. Class is the observed class, or the declared one while there are too few observations.
 type KindView struct {
 	Name       string `json:"name"`
 	Class      string `json:"class"`
