--- a/fault/fault.go
+++ b/fault/fault.go
@@ -25,7 +25,7 @@
 	NotStarted = namespace.NewType("not_started", ProvenNotStarted, Retriable)
 	// InDoubt means that a start was sent and no reply was received.
 	InDoubt = namespace.NewType("in_doubt")
-	// Refused means that a job was not accepted.
+	// Refused means that a job was not accepted, or that a task of it was not run.
 	Refused = namespace.NewType("refused", ProvenNotStarted)
 	// Overloaded is a refusal for lack of capacity or quota.
 	Overloaded = namespace.NewType("overloaded", ProvenNotStarted, Retriable)
@@ -35,15 +35,15 @@
 	Invalid = namespace.NewType("invalid", ProvenNotStarted)
 	// UnknownJob means that the id was never issued or never submitted.
 	UnknownJob = namespace.NewType("unknown_job")
-	// Expired means that the answer is no longer retained.
+	// Expired means that the job's id, key or answer is older than its retention.
 	Expired = namespace.NewType("expired")
 	// Unavailable means that the process that holds the answer is currently unreachable.
 	Unavailable = namespace.NewType("unavailable", Retriable)
-	// Failed means that the back end failed a task, or that the job of a finished task was not complete.
+	// Failed means that the back end failed a task, or that a task has no result because its job is not complete.
 	Failed = namespace.NewType("failed")
 	// HandedOver means that the job was handed over to the successor of its home, which answers for it.
 	HandedOver = namespace.NewType("handed_over", Retriable)
-	// NeverAccepted means that a complete hand-over proves that the home never accepted the job.
+	// NeverAccepted means that the home never accepted the job, as its complete handover proves.
 	NeverAccepted = namespace.NewType("never_accepted", ProvenNotStarted)
 	// JobLost means that the home of the job is gone and did not hand the job over.
 	JobLost = namespace.NewType("lost")
@@ -104,7 +104,8 @@
 	return t.New("%s", text).WithProperty(ReasonProperty, reason)
 }
 
-// Reason returns the reason attached to the error, or the full name of its type.
+// Reason returns the reason attached to the error, or else the full name of its type. For an error of another package
+// it returns "internal".
 func Reason(err error) string {
 	e := errorx.Cast(err)
 	if e == nil {
