--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,7 +1,7 @@
 // Package metric defines the names of all metrics.
 package metric
 
-// Names of counters, gauges and timers. Operators rely on them; docs/OPERATIONS.md describes each.
+// Names of the metrics. Operators rely on them; docs/OPERATIONS.md describes each.
 const (
 	JobsMinted          = "jobs.minted"
 	JobsAccepted        = "jobs.accepted"
