--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerance is the drift between the wall clock and the monotonic clock up to which Now does not check for a suspension.
-// It covers the adjustment of the wall clock and the rounding of both.
+// tolerance is the drift between the wall clock and the monotonic clock up to which Now does not check for a
+// suspension. It covers the adjustment of the wall clock and the rounding of both.
 const tolerance = 10 * time.Millisecond
 
 // Clock is a clock that includes suspensions. Its times may only be compared with each other.
@@ -22,7 +22,8 @@
 	suspended, wallLead atomic.Int64
 
 	// mu serializes updates of suspended and wallLead.
-	mu         sync.Mutex
+	mu sync.Mutex
+	// initialLag is the lag that readLag returned at begin.
 	initialLag time.Duration
 	// readLag returns how far the monotonic clock is behind the clock that includes suspensions.
 	readLag func() time.Duration
--- a/internal/logbuffer/logbuffer.go
+++ b/internal/logbuffer/logbuffer.go
@@ -28,10 +28,13 @@
 	closed chan struct{}
 	done   chan struct{}
 
-	mu       sync.Mutex
-	lines    []byte
-	spare    []byte
-	dropped  int
+	mu sync.Mutex
+	// lines holds the queued lines; spare is the memory of the previous write, for reuse.
+	lines []byte
+	spare []byte
+	// dropped is the number of lines dropped since the last report of dropped lines.
+	dropped int
+	// budget is the number of bytes that the rate allowed at the time refilled.
 	budget   float64
 	refilled time.Time
 }
--- a/internal/wire/limits.go
+++ b/internal/wire/limits.go
@@ -15,8 +15,9 @@
 	MaxWait = 25 * time.Second
 	// maxDeadline rejects values in a wrong unit, which could overflow a duration.
 	maxDeadline = 24 * time.Hour
-	maxName     = 256
-	maxKeyText  = 1024
+	// maxName and maxKeyText are in bytes.
+	maxName    = 256
+	maxKeyText = 1024
 )
 
 // WaitFrom decodes the wait of a call and limits it to MaxWait.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -91,6 +91,7 @@
 
 // AnswerTo encodes an answer.
 func AnswerTo(a contract.Answer) *api.Answer {
+	// The API's verdicts start at 1, because 0 is VERDICT_UNSPECIFIED.
 	out := &api.Answer{
 		JobId: a.Job.String(), Verdict: api.Verdict(a.Verdict) + 1, Reason: a.Reason, Detail: a.Detail,
 	}
--- a/internal/wire/wire_fuzz_test.go
+++ b/internal/wire/wire_fuzz_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// Guards against a status that makes the caller panic.
+// Guards against a status that makes the decoder panic or that loses its job id or number of tasks.
 func FuzzProgress(f *testing.F) {
 	f.Add(mustMarshal(f, &api.JobStatus{JobId: seedID, Verdict: api.Verdict_VERDICT_PENDING, Tasks: 3, DeadlineMs: 1 << 62}))
 	f.Fuzz(func(t *testing.T, data []byte) {
