--- a/zone/allocation.go
+++ b/zone/allocation.go
@@ -32,8 +32,8 @@
 	withheldAt  time.Time
 	held        map[string]heldSlots
 	sum         Count
-	countedFree int // the worker's contribution to SlotAllocator.free
-	heapIndex   [2]int
+	countedFree int    // the worker's contribution to SlotAllocator.free
+	heapIndex   [2]int // the position in the heap of each class, -1 if not in it
 }
 
 type heldSlots struct {
--- a/zone/answerlease.go
+++ b/zone/answerlease.go
@@ -10,9 +10,9 @@
 // of the lease to the caller.
 const answerLeaseTTL = SilenceLimit - 500*time.Millisecond
 
-// DeclareQuorum returns how many members have to promise to refuse a silent home before it is declared gone; n is the
-// number of listed members, including the home's VM. In a domain of two members only one can promise, so the home is
-// never declared gone: the list or the VM's next incarnation has to show that it has ended.
+// DeclareQuorum returns how many of n listed members have to promise to refuse a silent home before it is declared
+// gone. In a domain of two members, the home and one other, there are never enough promises: the list or the VM's next
+// incarnation has to show that the home has ended.
 func DeclareQuorum(n int) int { return n/2 + 1 }
 
 // AnswerLease decides whether a home (the member that accepted a job and answers for it) may still give final
--- a/zone/demandplanner.go
+++ b/zone/demandplanner.go
@@ -145,8 +145,9 @@
 	}
 }
 
-// Plan divides the demand and returns the parts to send. The VM's own allocator is called directly and needs no
-// message, so a change of its part is never delayed.
+// Plan divides the demand and returns the parts to send. Parts whose reply is due stay at their allocators, then known
+// free slots are used, then older parts stay, and the rest is divided in proportion to slots. The VM's own allocator is
+// called directly and needs no message, so a change of its part is never delayed.
 func (p *DemandPlanner) Plan(need Count, now time.Time) []DemandPart {
 	p.mu.Lock()
 	defer p.mu.Unlock()
