--- a/entry/claimappend.go
+++ b/entry/claimappend.go
@@ -64,8 +64,8 @@
 	return batch
 }
 
-// appendBatch retries until the batch is seen in the stream, an append succeeds or no caller is waiting. A repeated
-// batch has no effect, because its first copy binds every key.
+// appendBatch appends the claims as one batch. It retries until an append succeeds, the batch is seen in the stream or
+// no caller is waiting. A repeated batch has no effect, because its first copy binds every key.
 func (c *claimDelegate) appendBatch(ctx context.Context, waiters []*claimWaiter) {
 	if len(waiters) == 0 {
 		return
@@ -73,7 +73,8 @@
 	b, seen := c.newBatch(waiters)
 	data, err := encodeBatch(b)
 	if err != nil {
-		c.o.Logger.Error("failed to encode claims", "error", err)
+		c.o.Logger.Error("failed to encode a batch of claims; the claims stay undecided until their callers time out",
+			"error", err)
 		return
 	}
 	var backoff platform.Backoff
--- a/entry/claimcodec.go
+++ b/entry/claimcodec.go
@@ -6,7 +6,7 @@
 	"github.com/cicadadale/cicadadale/contract"
 )
 
-// maxClaimBatch bounds a batch, so that a record stays under 1 MiB with the longest keys.
+// maxClaimBatch is the maximum number of claims in a batch. A record stays under 1 MiB with the longest keys.
 const maxClaimBatch = 512
 
 type batchRecord struct {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -23,12 +23,14 @@
 	claimTimeout = time.Second
 	// outageTimeout bounds the wait while the log cannot be read, so that callers are refused early in an outage.
 	outageTimeout = 250 * time.Millisecond
-	// appendTimeout bounds one append. The batch of a slower one may still appear in the stream, where its id is looked
-	// for.
+	// appendTimeout bounds the wait for one append. An append that takes longer may still take effect; it is then
+	// recognised by the id of its batch in the stream.
 	appendTimeout = 700 * time.Millisecond
 	// barrierTimeout bounds the read that brings a lookup up to date.
 	barrierTimeout = 300 * time.Millisecond
-	claimReadWait  = time.Second
+	// claimReadWait is how long a read at the end of the stream waits for a record.
+	claimReadWait = time.Second
+	// claimPageLimit is the maximum number of records in the reply to a read.
 	claimPageLimit = 256
 	// maxWaitingClaims bounds the memory for waiting claims. Claims beyond it are refused.
 	maxWaitingClaims = 8192
@@ -36,10 +38,11 @@
 	delegateIdleTimeout = time.Minute
 )
 
-// claimWaiter is a claim that waits for its decision. done receives one value.
+// claimWaiter is a claim that waits for its decision.
 type claimWaiter struct {
 	claim contract.Claim
-	done  chan claimReply
+	// done receives the decision, unless the claim is abandoned first.
+	done chan claimReply
 	// resolved is set when the claim is decided or abandoned. It is guarded by the delegate's mu.
 	resolved bool
 }
@@ -67,26 +70,26 @@
 	table *contract.ClaimTable
 	wake  chan struct{}
 
-	// barriers numbers the reads made for lookups. reading is a semaphore of one; its holder performs the read and
-	// guards lastBarrier, the number of the last read that reached the end of the stream.
+	// barriers numbers the reads made for lookups. reading is a semaphore of one: only its holder performs a read and
+	// accesses lastBarrier, the number of the last read that reached the end of the stream.
 	barriers    atomic.Uint64
 	reading     chan struct{}
 	lastBarrier uint64
 
-	mu           sync.Mutex
-	closed       bool
-	cancel       context.CancelFunc
-	done         chan struct{}
-	lastUse      time.Time
-	pending      []*claimWaiter
-	waiting      map[contract.CallerKey][]*claimWaiter
-	waiterCount  int
-	caughtUp     chan struct{} // closed once the stream has been read to its end since start
-	failing      bool
-	batches      uint64
-	inflight     string
-	inflightSeen chan struct{} // closed when the batch in flight is seen in the stream
-	newestRecord time.Time
+	mu               sync.Mutex
+	closed           bool
+	cancel           context.CancelFunc
+	done             chan struct{}
+	lastUse          time.Time
+	pending          []*claimWaiter
+	waiting          map[contract.CallerKey][]*claimWaiter
+	waiterCount      int
+	caughtUp         chan struct{} // closed once the stream has been read to its end since start
+	failing          bool          // whether the last read of the tail loop failed
+	batches          uint64
+	inflight         string        // id of the last batch to be appended, empty once it is seen in the stream
+	inflightSeen     chan struct{} // closed when the batch in flight is seen in the stream
+	newestRecordTime time.Time
 }
 
 func newClaimDelegate(o claimDelegateOptions) *claimDelegate {
@@ -154,7 +157,7 @@
 // log's, it is used instead and bindings are kept longer.
 func (c *claimDelegate) expire() {
 	c.mu.Lock()
-	now := c.newestRecord
+	now := c.newestRecordTime
 	c.mu.Unlock()
 	if own := c.o.Now(); own.Before(now) {
 		now = own
@@ -391,11 +394,12 @@
 	}
 }
 
-// resolve completes the waiters that the decisions refer to.
+// resolve completes the waiters that the decisions refer to: all waiters of a key that is bound, and otherwise those
+// whose own claim was rejected or left undecided.
 func (c *claimDelegate) resolve(batch string, at time.Time, decisions []contract.ClaimDecision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.newestRecord = at
+	c.newestRecordTime = at
 	if batch != "" && batch == c.inflight {
 		c.inflight = ""
 		close(c.inflightSeen)
--- a/entry/claims_rapid_test.go
+++ b/entry/claims_rapid_test.go
@@ -19,12 +19,13 @@
 // The seed is fixed to make runs deterministic; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// claimStep is one step of a random run: a claim, a fault, a pause or the replacement of a delegate.
+// claimStep is one step of a random run: a fault, the replacement of a delegate or a claim. A pause of more than a
+// second follows the step; shorter ones are skipped, so that claims run concurrently.
 type claimStep struct {
-	kind     int
+	kind     int // 0 to 3 make the log fail or slow, 4 replaces a delegate, 5 truncates the log, others claim a key
 	delegate int
-	key      int
-	pause    time.Duration
+	key      int           // key to claim; for a fault, the number of affected appends or share of truncated records
+	pause    time.Duration // also the delay of each append that step 3 sets
 }
 
 func drawClaimSteps(t *rapid.T) []claimStep {
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -79,9 +79,9 @@
 	})
 }
 
-// Guards against a claim that blocks forever in an outage, and against treating a slow append as failed: the claim
-// stays undecided, and the late append still wins.
-func TestClaimInOutageStaysOpen(t *testing.T) {
+// Guards against a claim that blocks for as long as an append takes, and against treating a slow append as failed: the
+// claim stays undecided, and the late append still wins.
+func TestSlowAppendLeavesClaimUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
 		c := startDelegate(t, l, 1)
@@ -212,7 +212,8 @@
 	})
 }
 
-// FuzzClaimRecord guards against panics and against claims without a key or job id.
+// FuzzClaimRecord guards against panics, against claims without a key or job id, and against a batch that changes when
+// it is encoded and decoded again.
 func FuzzClaimRecord(f *testing.F) {
 	f.Add([]byte(`{"batch":"b","claims":[{"customer":"c","text":"t","created_unix_ms":1,"job":"j-1-00c0ffee00c0ffee-17"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/entry/cluster_test.go
+++ b/entry/cluster_test.go
@@ -201,10 +201,10 @@
 
 	mu       sync.Mutex
 	busy     map[machine.WorkerID]int
-	long     map[machine.WorkerID]int
-	maxLong  map[machine.WorkerID]int
+	long     map[machine.WorkerID]int // number of long tasks running now
+	maxLong  map[machine.WorkerID]int // highest number of long tasks running at once
 	busyTime time.Duration
-	waits    map[string][]time.Duration // by home
+	waits    map[string][]time.Duration // waits of short tasks, by home
 	longWait []time.Duration
 	started  map[contract.TaskID]int
 }
@@ -338,7 +338,7 @@
 	})
 	require.NoError(c.t, err)
 	m.Daemon = d
-	// Replace the link to the workers by the simulation.
+	// Replace the links to the workers with the simulated workers.
 	d.dispatcher = dispatch.New(dispatch.Options{
 		Table: d.table, Starter: testStarter{workers: c.workers, vm: id}, Broker: d.slots, Self: id,
 		Placement: d.slots.placement, Fleet: d.fleet, Now: time.Now, Logger: d.o.Logger, Metrics: m.metrics,
@@ -425,7 +425,7 @@
 // duration. load is the offered load in slots: the rate of tasks times their mean run time.
 func (c *testCluster) offerLoad(id string, load float64, tasks int, during time.Duration, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	gap := 0.1 * float64(tasks) / load
+	gap := 0.1 * float64(tasks) / load // mean interarrival time in seconds; 0.1 s is the mean run time
 	end := time.Now().Add(during)
 	for {
 		time.Sleep(time.Duration(random.ExpFloat64() * gap * float64(time.Second)))
@@ -453,9 +453,9 @@
 // summary holds the results of a run.
 type summary struct {
 	tasks           int64
-	wasted          float64
-	bytesPerSecond  float64
-	busy            float64
+	wasted          float64 // rejected starts and unused grants per task
+	bytesPerSecond  float64 // control traffic per entry VM
+	busy            float64 // share of all slots that was busy
 	p50, p99, worst time.Duration
 	byHome          map[string]time.Duration // mean waits
 }
--- a/entry/configapply.go
+++ b/entry/configapply.go
@@ -17,7 +17,8 @@
 const (
 	// configKey is hashed with VM ids to choose the member that publishes snapshots and reports the position to other
 	// failure domains.
-	configKey      = "config"
+	configKey = "config"
+	// configInterval is the interval of snapshot checks and of reports to other failure domains.
 	configInterval = time.Second
 )
 
@@ -31,7 +32,8 @@
 	services, findings := config.CompileServices(v.Document)
 	if len(findings) > 0 {
 		// Accepted documents compile, unless one was accepted by another version of the program.
-		d.o.Logger.Error("failed to compile configured services", "revision", v.Revision, "finding", findings[0].Reason)
+		d.o.Logger.Error("failed to compile the services of the configuration; their declarations stay unchanged",
+			"revision", v.Revision, "finding", findings[0].Reason)
 	}
 	for _, s := range services {
 		declared[s.Name()] = s.Kinds()
@@ -40,7 +42,8 @@
 		d.dispatcher.Configure(name, withOverrides(name, kinds, v.Document.Kinds))
 	}
 	if err := d.dispatcher.ApplyCustomers(config.Customers(v.Revision, v.Document)); err != nil {
-		d.o.Logger.Error("failed to apply customers", "revision", v.Revision, "error", err)
+		d.o.Logger.Error("failed to apply the customers of the configuration; previous weights and quotas stay in effect",
+			"revision", v.Revision, "error", err)
 	}
 	d.slots.reassign()
 	d.timeline.Record(timeline.Event{Kind: timeline.ConfigApplied, Detail: v.Origin.ID, Count: int64(v.Revision)})
@@ -83,8 +86,8 @@
 	}
 }
 
-// requireConfiguration refuses jobs until this process has a configuration in effect. The refusal proves that a job has
-// not run: before then nothing has run under an id of this process.
+// requireConfiguration refuses jobs until this process has a configuration in effect. Until then no job
+// has run under an id that this process minted, so the refusal proves that the job has not run.
 func (d *Daemon) requireConfiguration() error {
 	if !d.configs.inEffect().Known {
 		return fault.With(fault.Overloaded, "no configuration", "neither the log nor a peer has shown the configuration")
@@ -92,8 +95,9 @@
 	return nil
 }
 
-// sendMissingConfiguration sends records to a peer that is behind.
-func (d *Daemon) sendMissingConfiguration(vm string, offset uint64) {
+// sendMissingConfiguration sends records to a peer that is behind. All members of the peer's failure domain know its
+// position: the chosen one sends at once, the others only if the peer stays behind.
+func (d *Daemon) sendMissingConfiguration(vm string, position uint64) {
 	var others []machine.EntryVM
 	for _, m := range d.domain.Live() {
 		if m.ID != vm {
@@ -102,10 +106,10 @@
 	}
 	chosen, ok := zone.Choose(configKey+"/"+vm, others)
 	otherDomain := d.peers.domainOf(vm) != d.o.Domain
-	if !d.configs.shouldSend(vm, offset, otherDomain || (ok && chosen.ID == d.o.VM.ID)) {
+	if !d.configs.shouldSend(vm, position, otherDomain || (ok && chosen.ID == d.o.VM.ID)) {
 		return
 	}
-	if m := d.configs.recordsFor(offset); m != nil {
+	if m := d.configs.recordsFor(position); m != nil {
 		d.peers.send(vm, &api.PeerMessage{Body: &api.PeerMessage_ConfigRecords{ConfigRecords: m}})
 	}
 }
@@ -122,11 +126,11 @@
 	if vm, ok := zone.Choose(configKey, d.domain.Live()); !ok || vm.ID != d.o.VM.ID {
 		return
 	}
-	offset, revision := d.configs.position()
+	position, revision := d.configs.position()
 	for _, vms := range domains {
 		if vm, ok := zone.Choose(configKey, vms); ok {
 			d.peers.send(vm.ID, &api.PeerMessage{Body: &api.PeerMessage_Heartbeat{Heartbeat: &api.Heartbeat{
-				Leaving: d.dispatcher.Draining(), ConfigOffset: offset, ConfigRevision: revision,
+				Leaving: d.dispatcher.Draining(), ConfigOffset: position, ConfigRevision: revision,
 			}}})
 		}
 	}
--- a/entry/configmembers_test.go
+++ b/entry/configmembers_test.go
@@ -84,7 +84,7 @@
 		want := uint64(n + 1)
 		for _, d := range members {
 			require.Eventually(t, func() bool { return d.configs.state.View().Revision == want }, 20*time.Second,
-				20*time.Millisecond, fmt.Sprintf("%s has revision %d", d.o.VM.ID, d.configs.state.View().Revision))
+				20*time.Millisecond, fmt.Sprintf("%s does not reach revision %d", d.o.VM.ID, want))
 		}
 	}
 	members = append(members, startMember(t, list, downLog, "d", 2))
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -18,8 +18,10 @@
 )
 
 const (
-	configStream    = "config"
-	configReadWait  = 2 * time.Second
+	configStream = "config"
+	// configReadWait is how long a read at the end of the stream waits for a record.
+	configReadWait = 2 * time.Second
+	// configPageLimit is the maximum number of records in the reply to a read.
 	configPageLimit = 64
 	// configStartWait bounds the first read, so that a process that starts in an outage proceeds to ask its peers.
 	configStartWait = time.Second
@@ -29,7 +31,8 @@
 	// snapshotRankDelay is how long a member waits for each member ranked before it. It is longer than it takes all
 	// members to read a published snapshot.
 	snapshotRankDelay = 3 * time.Second
-	snapshotTimeout   = 2 * time.Second
+	// snapshotTimeout bounds the append of a snapshot.
+	snapshotTimeout = 2 * time.Second
 	// peerSnapshotOffset marks a snapshot that a peer has created for another peer and that is not on the log.
 	peerSnapshotOffset = math.MaxUint64
 	// lagTolerance is how long a peer may be behind before members other than the chosen one send it records.
@@ -61,9 +64,9 @@
 
 	mu         sync.Mutex
 	kept       []keptRecord
-	oldest     uint64 // oldest offset kept by the log, as of the last read
-	lastReadOK bool   // whether the last read succeeded
-	dueSince   time.Time
+	oldest     uint64               // oldest offset kept by the log, as of the last read
+	lastReadOK bool                 // whether the last read succeeded
+	dueSince   time.Time            // start of the turns to publish a snapshot, zero if none is due
 	lagging    map[string]time.Time // peers that are behind, and since when
 }
 
@@ -174,9 +177,10 @@
 	return contract.ConfigView{}
 }
 
-// position returns the values for heartbeats: the number of applied records plus one, and the revision in effect. The
-// number is 0, which requests a snapshot, while no state is known or the log has dropped records that the state lacks.
-func (c *configReplica) position() (offset, revision uint64) {
+// position returns the values for heartbeats: the offset of the next record to apply plus one, and the revision in
+// effect. The position is 0, which requests a snapshot, while no state is known or the log has dropped records that the
+// state lacks.
+func (c *configReplica) position() (position, revision uint64) {
 	v := c.state.View()
 	if !v.Known || c.state.Gapped() {
 		return 0, v.Revision
@@ -209,12 +213,12 @@
 }
 
 // recordsFor returns the records that a peer at the given position lacks, or nil if it is not behind.
-func (c *configReplica) recordsFor(peer uint64) *api.ConfigRecords {
+func (c *configReplica) recordsFor(peerPosition uint64) *api.ConfigRecords {
 	own, _ := c.position()
-	if own <= peer {
+	if own <= peerPosition {
 		return nil
 	}
-	if out := c.keptFrom(peer); out != nil {
+	if out := c.keptFrom(peerPosition); out != nil {
 		return out
 	}
 	snap, ok := c.state.Snapshot()
@@ -223,27 +227,27 @@
 	}
 	data, err := config.EncodeRecord(contract.ConfigRecord{Snapshot: &snap})
 	if err != nil {
-		c.o.Logger.Error("failed to encode configuration", "error", err)
+		c.o.Logger.Error("failed to encode a configuration snapshot; none is sent to the peer", "error", err)
 		return nil
 	}
 	return &api.ConfigRecords{Records: []*api.ConfigRecord{{Offset: peerSnapshotOffset, Data: data}}}
 }
 
 // keptFrom returns the kept records from a position on, or nil if they do not reach back to it.
-func (c *configReplica) keptFrom(peer uint64) *api.ConfigRecords {
+func (c *configReplica) keptFrom(peerPosition uint64) *api.ConfigRecords {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if peer == 0 || len(c.kept) == 0 || c.kept[0].offset > peer-1 {
+	if peerPosition == 0 || len(c.kept) == 0 || c.kept[0].offset > peerPosition-1 {
 		return nil
 	}
 	out := &api.ConfigRecords{}
 	for _, k := range c.kept {
-		if k.offset >= peer-1 {
+		if k.offset >= peerPosition-1 {
 			out.Records = append(out.Records, &api.ConfigRecord{Offset: k.offset, Data: k.data})
 		}
 	}
 	for i, r := range out.Records {
-		if r.GetOffset() != peer-1+uint64(i) {
+		if r.GetOffset() != peerPosition-1+uint64(i) {
 			return nil
 		}
 	}
@@ -252,12 +256,12 @@
 
 // shouldSend decides whether this member sends records to a peer that is behind. The chosen member does so at once,
 // others only if the peer stays behind.
-func (c *configReplica) shouldSend(vm string, peer uint64, chosen bool) bool {
+func (c *configReplica) shouldSend(vm string, peerPosition uint64, chosen bool) bool {
 	own, _ := c.position()
 	now := c.o.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if own <= peer {
+	if own <= peerPosition {
 		delete(c.lagging, vm)
 		return false
 	}
@@ -273,8 +277,8 @@
 	return true
 }
 
-// publishSnapshot appends a snapshot to the log when one is due. rank is the number of members that are to do so before
-// this one.
+// publishSnapshot appends a snapshot to the log when one is due and it is this member's turn. rank is the number of
+// members whose turn comes before.
 func (c *configReplica) publishSnapshot(ctx context.Context, rank int) {
 	now := c.o.Now()
 	c.mu.Lock()
@@ -292,7 +296,8 @@
 	}
 	wait := c.dueSince.Add(time.Duration(rank) * snapshotRankDelay).Sub(now)
 	if wait <= 0 {
-		// If this attempt fails, the next one comes after all other members had their turn.
+		// If this attempt fails, this member's next one is due (rank + 1) * snapshotRankDelay later. The turns of the
+		// other members stay as they are.
 		c.dueSince = now.Add(snapshotRankDelay)
 	}
 	c.mu.Unlock()
@@ -309,12 +314,12 @@
 	}
 	data, err := config.EncodeRecord(contract.ConfigRecord{Snapshot: &snap})
 	if err != nil {
-		c.o.Logger.Error("failed to encode configuration", "error", err)
+		c.o.Logger.Error("failed to encode a configuration snapshot; none is appended to the log", "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	// A snapshot whose reply was lost is found by the next read, which makes another one unnecessary.
+	// If the reply to an append is lost, the next read finds the snapshot, and no other one is due.
 	if _, err := c.o.Log.Append(ctx, configStream, data); err != nil {
 		metrics.GetOrRegisterCounter(metric.LogErrors, c.o.Metrics).Inc(1)
 	}
--- a/entry/configs_test.go
+++ b/entry/configs_test.go
@@ -68,8 +68,9 @@
 	})
 }
 
-// Guards against a new VM that reports ready in an outage without a peer, or that goes back to an older revision
-// afterwards: it adopts a peer's state, ignores a stale one, and continues from the log.
+// Guards against a new VM that takes a configuration as known during an outage of the log before a peer has sent one,
+// and against one that goes back to an older revision: it adopts a peer's state, ignores a stale one, and continues
+// from the log.
 func TestNewVMDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLog()
@@ -160,7 +161,7 @@
 		l := newFakeLog()
 		c := followLog(t, l)
 		publishWeight(t, l, 0, 0)
-		time.Sleep(7 * time.Hour)
+		time.Sleep(7 * time.Hour) // a snapshot is due after 6 hours
 		before := len(l.streams[configStream])
 		for range 10 {
 			time.Sleep(time.Second)
