--- a/entry/capacity.go
+++ b/entry/capacity.go
@@ -12,8 +12,8 @@
 const (
 	// capacityCacheTTL is how long a computed capacity is reused.
 	capacityCacheTTL = 100 * time.Millisecond
-	// congestionWait is the wait of the oldest task above which a service's capacity is limited to the slots already
-	// held.
+	// congestionWait is the wait of the oldest short task above which a service's capacity is limited to the slots
+	// already held.
 	congestionWait = 50 * time.Millisecond
 )
 
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -67,7 +67,7 @@
 	oldest     uint64               // oldest offset kept by the log, as of the last read
 	lastReadOK bool                 // whether the last read succeeded
 	dueSince   time.Time            // start of the turns to publish a snapshot, zero if none is due
-	lagging    map[string]time.Time // peers that are behind, and since when
+	lagging    map[string]time.Time // peers that are behind: since when, or when records were last sent
 }
 
 type keptRecord struct {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -25,6 +25,7 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	listInterval      = 500 * time.Millisecond
+	// statusInterval is the interval between rounds of status polls; a round polls the workers returned by duePolls.
 	statusInterval    = time.Second
 	schedulerInterval = 10 * time.Millisecond
 	expiryInterval    = 10 * time.Second
@@ -47,7 +48,8 @@
 	// AdminListener serves the admin endpoints; nil disables them.
 	AdminListener net.Listener
 	DialPeer      func(ctx context.Context, address string) (net.Conn, error)
-	Connections   int
+	// Connections bounds the connections to each worker for starts, and separately those for fences.
+	Connections int
 	// TimelineEvents is the capacity of the timeline's ring; 0 selects the default, a negative number disables the
 	// timeline.
 	TimelineEvents int
@@ -223,6 +225,7 @@
 	})
 }
 
+// waitIdle waits until all jobs that this VM answers for have a final answer, or ctx is cancelled.
 func (d *Daemon) waitIdle(ctx context.Context) {
 	t := time.NewTicker(schedulerInterval)
 	defer t.Stop()
--- a/entry/fakelog_test.go
+++ b/entry/fakelog_test.go
@@ -16,9 +16,9 @@
 	first       map[string]uint64
 	changed     chan struct{}
 	down        bool
-	loseReplies int // number of appends that take effect but return an error
-	failAppends int // number of appends that fail without effect
-	delay       time.Duration
+	loseReplies int           // number of appends that take effect but return an error
+	failAppends int           // number of appends that fail without effect
+	delay       time.Duration // duration of an append
 	appends     int
 	// readDelay is the duration of a read that does not wait for a record.
 	readDelay time.Duration
--- a/entry/fence.go
+++ b/entry/fence.go
@@ -15,8 +15,8 @@
 // voteTimeout bounds the wait for a member's vote on a silent home.
 const voteTimeout = 500 * time.Millisecond
 
-// confirmGone asks the members whether a silent home is gone, by the rule of zone.Homes. Promises are requested only
-// once a quorum finds the home silent, because each promise makes the home stop serving.
+// confirmGone asks the members whether a silent home is gone, by the rule of zone.Homes. Promises to refuse the home are
+// requested only once a quorum finds it silent, because a single promise is enough to fence a home that returns.
 func (d *Daemon) confirmGone(ctx context.Context, home zone.Home) zone.HomeState {
 	members := d.domain.Listed()
 	quorum := zone.DeclareQuorum(len(members) + 1)
@@ -27,7 +27,8 @@
 	return zone.HomeGone
 }
 
-// countSilent counts the members, including this one, that find a home silent.
+// countSilent counts the members, including this one, that find a home silent. With promise set, each of them refuses
+// the home from then on.
 func (d *Daemon) countSilent(ctx context.Context, home zone.Home, members []string, promise bool) int {
 	var mu sync.Mutex
 	n := 0
@@ -58,13 +59,14 @@
 // refusedBy is called when a member refuses this incarnation.
 func (d *Daemon) refusedBy(vm string) { d.fence("entry VM " + vm + " treats this incarnation as gone") }
 
-// fence stops the service of an incarnation that others count as gone. All members, including this one, report its jobs
-// as lost, and the process has to continue under a new incarnation.
+// fence stops the service of an incarnation that others count, or may count, as gone. All members, including this one,
+// report its jobs as lost, and the process has to continue under a new incarnation.
 func (d *Daemon) fence(reason string) {
 	if d.fenced.Swap(true) {
 		return
 	}
-	d.o.Logger.Error("this incarnation is fenced", "vm", d.o.VM.ID, "reason", reason)
+	d.o.Logger.Error("this incarnation is fenced; it accepts no more jobs and starts no more tasks",
+		"vm", d.o.VM.ID, "reason", reason)
 	d.dispatcher.Drain()
 	close(d.fencedCh)
 }
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// maxPartBytes bounds the size of a part, so that it does not delay the heartbeats on the link.
+	// maxPartBytes is the size in bytes at which a part of a hand-over is sent. Larger parts would delay the heartbeats
+	// on the link. A part exceeds it by less than one job or answer.
 	maxPartBytes = 1 << 20
 	// partTimeout bounds the wait for the reply to a part. The part is sent again afterwards.
 	partTimeout    = time.Second
@@ -39,8 +40,8 @@
 	lastPart   map[machine.Incarnation]uint32
 	inProgress map[machine.Incarnation]bool
 
-	ownMu  sync.Mutex // guards own and hasOwn
-	own    zone.Succession
+	ownMu  sync.Mutex      // guards own and hasOwn
+	own    zone.Succession // succession of this VM, valid if hasOwn is set
 	hasOwn bool
 }
 
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// applyPart applies the answers before the homes: the homes of the last part prove which jobs were never accepted.
+// applyPart applies the answers and jobs before the homes: once a home is complete, a job of it that is neither in
+// the table nor expired counts as never accepted.
 func (d *Daemon) applyPart(m *api.HandOver) error {
 	now := d.o.Now()
 	answers := make([]contract.Answer, 0, len(m.GetAnswers()))
--- a/entry/health.go
+++ b/entry/health.go
@@ -18,7 +18,7 @@
 	}}})
 }
 
-// applyWarning applies the warning of another member.
+// applyWarning applies another member's warning of a quarantined worker.
 func (d *Daemon) applyWarning(m *api.WorkerWarning) {
 	w, ok := d.fleet.Get(machine.WorkerID(m.GetWorker()))
 	if ok && w.Warn(machine.Incarnation(m.GetWorkerIncarnation()), d.o.Now()) {
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -18,7 +18,7 @@
 	// claimDelegateKey is hashed with the members' ids to choose the claim delegate.
 	claimDelegateKey = "claims"
 	delegateInterval = 500 * time.Millisecond
-	// appendBudget is the rate of appends a second that all processes share, out of the several hundred that the
+	// appendBudget is the number of appends per second that all processes share, out of the several hundred that the
 	// platform sustains.
 	appendBudget = 300.0
 	// claimReplyMargin is the time that a delegate's reply takes in addition to the wait for the log.
@@ -170,8 +170,8 @@
 	return winner, found, undecided
 }
 
-// lookupKey looks up a key through a delegate of this failure domain, or through its backup if the first one cannot
-// read the log.
+// lookupKey looks up a key through the delegate of this failure domain, or through its backup if the delegate returns
+// an error.
 func (d *Daemon) lookupKey(ctx context.Context, k contract.CallerKey) (contract.JobID, bool, error) {
 	var err error
 	for _, vm := range d.delegates() {
@@ -269,6 +269,7 @@
 	id, found, err := d.lookupKey(ctx, *r.Key)
 	switch {
 	case fault.IsProvenNotStarted(err):
+		// The reply of one delegate does not prove that the key is unclaimed; see confirmUnclaimed.
 		return r, fault.Unavailable.New("key %s is not known here and the log cannot be reached", r.Key)
 	case err != nil:
 		return r, err
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -51,7 +51,8 @@
 	return k
 }
 
-func (k *keyedDeployment) total() int {
+// totalStarts returns the number of starts of all tasks.
+func (k *keyedDeployment) totalStarts() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -71,7 +72,7 @@
 }
 
 // Guards against a second run of a key that is submitted concurrently to all entry VMs of two failure domains with
-// different contents, and against calls by key that only the home can answer.
+// different contents, and against calls by key that fail at entry VMs other than the home.
 func TestKeyRunsOnceAcrossFailureDomains(t *testing.T) {
 	k := startKeyedDeployment(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -93,7 +94,7 @@
 		require.Equal(t, contract.VerdictComplete, answers[i].Verdict, answers[i].Detail)
 		require.Equal(t, answers[0], answers[i])
 	}
-	require.Equal(t, len(answers[0].Results), k.total())
+	require.Equal(t, len(answers[0].Results), k.totalStarts())
 	for _, c := range k.clients {
 		a, err := c.Await(ctx, first.Ref)
 		require.NoError(t, err)
@@ -129,7 +130,7 @@
 		require.NoError(t, err)
 		require.Equal(t, contract.VerdictRefused, a.Verdict, a.Detail)
 	}
-	require.Equal(t, 1, k.total())
+	require.Equal(t, 1, k.totalStarts())
 	k.Platform.SetFaults(standin.PlatformFaults{})
 	// A delegate may still refuse until its backoff after a failed read has passed; it must serve again before ctx
 	// expires.
@@ -139,5 +140,5 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, contract.VerdictComplete, a.Verdict, a.Detail)
-	require.Equal(t, 2, k.total())
+	require.Equal(t, 2, k.totalStarts())
 }
--- a/entry/log_bench_test.go
+++ b/entry/log_bench_test.go
@@ -101,8 +101,8 @@
 	_, openLog := benchPlatform(b)
 	const readers, changes = 24, 200
 	var mu sync.Mutex
-	inForce := make(map[uint64]int)
-	reached := make(map[uint64]time.Time)
+	inForce := make(map[uint64]int)       // number of readers that have a revision in effect
+	reached := make(map[uint64]time.Time) // time at which all readers have it in effect
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for range readers {
--- a/entry/membership.go
+++ b/entry/membership.go
@@ -12,7 +12,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// refreshList applies the platform's list. If the list is unavailable, nothing changes.
+// refreshList reads and applies the platform's VM list. If the list is unavailable, nothing changes.
 func (d *Daemon) refreshList(ctx context.Context) {
 	vms, err := d.o.List.List(ctx)
 	if err != nil {
@@ -78,16 +78,16 @@
 	d.slots.reassign()
 }
 
-// heartbeat sends heartbeats to the peers and marks silent members as suspect.
+// heartbeat sends heartbeats to the peers and marks silent members as suspect, then as gone.
 func (d *Daemon) heartbeat() {
 	d.checkPause()
 	d.adminState.lastHeartbeat.Store(d.o.Now().UnixNano())
 	d.applyChanges(d.domain.Tick(d.o.Now()))
 	leaving := d.dispatcher.Draining()
-	offset, revision := d.configs.position()
-	otherDomain := &api.Heartbeat{Leaving: leaving, ConfigOffset: offset, ConfigRevision: revision}
+	position, revision := d.configs.position()
+	otherDomain := &api.Heartbeat{Leaving: leaving, ConfigOffset: position, ConfigRevision: revision}
 	sameDomain := &api.Heartbeat{
-		Leaving: leaving, ConfigOffset: offset, ConfigRevision: revision, Slots: d.slots.statuses(),
+		Leaving: leaving, ConfigOffset: position, ConfigRevision: revision, Slots: d.slots.statuses(),
 		QuotaSeeded: d.quotas.seededBelow(),
 	}
 	d.peers.heartbeat(
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -13,7 +13,7 @@
 	"github.com/cicadadale/cicadadale/zone"
 )
 
-// receive handles the envelopes of one link, in order.
+// receive handles one envelope. The envelopes of a link arrive in order.
 func (d *Daemon) receive(env *api.Envelope) link.HandlerResult {
 	d.checkPause()
 	d.clock.Observe(env.GetLamport())
@@ -47,6 +47,8 @@
 	return link.Accepted
 }
 
+// reject returns how to reject the messages of an incarnation that is not accepted: permanently, or only while its VM is
+// not listed.
 func (d *Daemon) reject(inc machine.Incarnation) link.HandlerResult {
 	if d.homes.Refuses(inc) {
 		return link.Refused
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -26,7 +26,7 @@
 	server        *admin.Server
 	started       time.Time
 	serving       atomic.Bool
-	lastHeartbeat atomic.Int64
+	lastHeartbeat atomic.Int64 // Unix time in nanoseconds of the last heartbeat tick
 }
 
 // startAdmin starts the admin server before the daemon serves callers, so that the startup can be observed.
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -90,13 +90,13 @@
 	sort.Slice(usages, func(i, j int) bool { return usages[i].Key.String() < usages[j].Key.String() })
 	delegate := q.isDelegate()
 	seeding := q.maySeed(delegate)
-	highest := uint64(0)
+	below := uint64(0)
 	for _, u := range usages {
 		q.updateShare(u, seeding)
-		highest = max(highest, u.Revision+1)
+		below = max(below, u.Revision+1)
 	}
 	if seeding {
-		q.setSeeded(highest)
+		q.setSeeded(below)
 	}
 	targets := q.targets(delegate)
 	for _, u := range usages {
--- a/entry/slots_test.go
+++ b/entry/slots_test.go
@@ -17,9 +17,9 @@
 const (
 	// wastedTarget and budgetTarget are the targets of the design page: rejected starts and unused grants per task, and
 	// control traffic in bytes/s per entry VM.
-	wastedTarget = 0.02
-	budgetTarget = 8 << 10
-	busyTarget   = 0.95
+	wastedTarget         = 0.02
+	controlTrafficTarget = 8 << 10
+	busyTarget           = 0.95
 )
 
 // loadRun is a run of a cluster under load.
@@ -77,7 +77,7 @@
 		policy: dispatch.PolicyDefault, workers: 187, loads: evenLoads(8, 0.7), tasks: 12, during: 3 * time.Second,
 	}.run(t)
 	require.LessOrEqual(t, s.wasted, wastedTarget)
-	require.LessOrEqual(t, s.bytesPerSecond, float64(budgetTarget))
+	require.LessOrEqual(t, s.bytesPerSecond, float64(controlTrafficTarget))
 }
 
 // Guards against slots stranded at idle members: one entry VM receives all the load and uses the slots of all members.
--- a/entry/workerpoll.go
+++ b/entry/workerpoll.go
@@ -37,8 +37,8 @@
 	return p.round
 }
 
-// begin reports whether to poll a worker out of turn. If so, end must be called afterwards.
-func (p *workerPolls) begin(id machine.WorkerID) bool {
+// beginUrgent reports whether to poll a worker out of turn. If so, end must be called afterwards.
+func (p *workerPolls) beginUrgent(id machine.WorkerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.urgent[id] {
@@ -51,7 +51,7 @@
 	return true
 }
 
-func (p *workerPolls) end(id machine.WorkerID) {
+func (p *workerPolls) endUrgent(id machine.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.urgent, id)
@@ -93,8 +93,8 @@
 // Start implements dispatch.Starter.
 func (s pollingStarter) Start(ctx context.Context, r dispatch.StartRequest) (dispatch.StartReply, error) {
 	reply, err := s.Starter.Start(ctx, r)
-	if err != nil && isStaleStatus(fault.Reason(err)) && s.d.polls.begin(r.Worker) {
-		defer s.d.polls.end(r.Worker)
+	if err != nil && isStaleStatus(fault.Reason(err)) && s.d.polls.beginUrgent(r.Worker) {
+		defer s.d.polls.endUrgent(r.Worker)
 		if w, ok := s.d.fleet.Get(r.Worker); ok {
 			// A worker that does not reply keeps its last status.
 			_, _ = s.d.poll(ctx, w)
