--- a/entry/fence.go
+++ b/entry/fence.go
@@ -15,8 +15,8 @@
 // voteTimeout bounds the wait for a member's vote on a silent home.
 const voteTimeout = 500 * time.Millisecond
 
-// confirmGone asks the members whether a silent home is gone, by the rule of zone.Homes. Promises to refuse the home are
-// requested only once a quorum finds it silent, because a single promise is enough to fence a home that returns.
+// confirmGone asks the members whether a silent home is gone, by the rule of zone.Homes. Promises to refuse the home
+// are requested only once a quorum finds it silent, because a single promise is enough to fence a home that returns.
 func (d *Daemon) confirmGone(ctx context.Context, home zone.Home) zone.HomeState {
 	members := d.domain.Listed()
 	quorum := zone.DeclareQuorum(len(members) + 1)
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -47,8 +47,8 @@
 	return link.Accepted
 }
 
-// reject returns how to reject the messages of an incarnation that is not accepted: permanently, or only while its VM is
-// not listed.
+// reject returns how to reject the messages of an incarnation that is not accepted: permanently, or only while its VM
+// is not listed.
 func (d *Daemon) reject(inc machine.Incarnation) link.HandlerResult {
 	if d.homes.Refuses(inc) {
 		return link.Refused
--- a/entry/pause.go
+++ b/entry/pause.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// mayStart reports whether it is impossible that the others count this home as gone. A home that was paused or cut off
-// must not start tasks of jobs that others have reported as lost. It is called with the lock of a service scheduler
-// held.
+// mayStart reports whether this home may start tasks: only while the others cannot count it as gone. A home that was
+// paused or cut off must not start tasks of jobs that others have reported as lost. It is called with the lock of a
+// service scheduler held.
 func (d *Daemon) mayStart() bool {
 	now := d.o.Now()
 	return !d.pauseDetector.observe(now, d.fenceAfterPause) && !d.fenced.Load() && d.lease.Holds(d.domain.Listed(), now)
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// applyList opens links to the listed members of this failure domain and closes those to VMs that are removed from the
-// list.
+// applyList opens links to the listed members of this failure domain and closes those to VMs that were removed from the
+// list or whose address has changed.
 func (p *peers) applyList(vms []platform.VM) {
 	p.mu.Lock()
 	p.listed = make(map[string]platform.VM)
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -22,13 +22,14 @@
 	// seedingDelay is the time after the start of the process before it may seed shares. It is long enough to receive
 	// heartbeats from members that know of an earlier seeding.
 	seedingDelay = 3 * time.Second
-	// unmetTTL is how long a delegate includes unmet requests of others in its own demand.
+	// unmetTTL is how long a delegate includes an unmet request of another VM in its own demand.
 	unmetTTL = 2 * time.Second
 )
 
-// quotaExchange moves shares of team quotas between entry VMs. A VM requests quota from the members of its failure
-// domain; the delegate of the failure domain also requests it from the delegates of the others. The shards hold the
-// shares by team.
+// quotaExchange moves shares of team quotas between entry VMs. For each revision of a quota, the delegate of each
+// failure domain seeds a fixed part of it, that is, it creates the first shares and divides them between the members.
+// Afterwards a VM requests quota from the members of its failure domain; the delegate also requests it from the
+// delegates of the others. The shards hold the shares by team.
 type quotaExchange struct {
 	d       *Daemon
 	shards  [quotaShards]quotaShard
@@ -38,7 +39,7 @@
 	// seeded is one more than the highest quota revision known to be seeded in the failure domain.
 	seeded uint64
 	round  int
-	// vms maps the processes that were given quota to their VMs.
+	// vms maps the processes that have requested quota or were given some to their VMs.
 	vms map[machine.Incarnation]string
 }
 
@@ -50,7 +51,7 @@
 // quotaEntry is this VM's share of a team's quota.
 type quotaEntry struct {
 	share *contract.QuotaShare
-	// unmet is the quota that others requested and did not receive, valid until unmetUntil.
+	// unmet is the missing quota of the last request that received nothing, valid until unmetUntil.
 	unmet      int
 	unmetUntil time.Time
 }
@@ -206,6 +207,8 @@
 	}
 }
 
+// sendTransfer sends a transfer to the VM of its receiver. slots is the quota that it adds to earlier transfers; resend
+// passes 0.
 func (q *quotaExchange) sendTransfer(t contract.QuotaTransfer, slots int) {
 	q.mu.Lock()
 	vm := q.vms[t.To]
@@ -305,7 +308,8 @@
 	return true
 }
 
-// handleRequest transfers a part of the share to the requesting process.
+// handleRequest transfers a part of the share to the requesting process. If there is none to give, a delegate includes
+// the request in its own demand for a while.
 func (q *quotaExchange) handleRequest(to machine.Incarnation, r *api.QuotaRequest) {
 	k, ok := customer.ParseTeamKey(r.GetTeam())
 	if !ok {
--- a/entry/quotareturn.go
+++ b/entry/quotareturn.go
@@ -11,13 +11,15 @@
 const (
 	// quotaReturnTimeout bounds the time that a stopping VM spends on returning its quota.
 	quotaReturnTimeout = 2 * time.Second
-	quotaReturnRetry   = 100 * time.Millisecond
+	// quotaReturnRetry is the interval at which unacknowledged transfers are sent again.
+	quotaReturnRetry = 100 * time.Millisecond
 	// quotaReturnKey is hashed with the members' ids to choose the member that receives the quota of a stopping VM.
 	quotaReturnKey = "quota return/"
 )
 
 // returnQuota transfers the shares of a stopping VM to another member of the failure domain. Without it each planned
-// replacement would take an eighth of the failure domain's quota of every team out of use, until the quota is changed.
+// replacement of one of eight entry VMs would take an eighth of the failure domain's quota of every team out of use,
+// until the quota is changed.
 func (q *quotaExchange) returnQuota(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, quotaReturnTimeout)
 	defer cancel()
@@ -35,7 +37,8 @@
 	}
 }
 
-// transferAll sends all shares and unacknowledged transfers, and reports whether none is left.
+// transferAll sends all shares and unacknowledged transfers. It reports whether none is left or no member can receive
+// them.
 func (q *quotaExchange) transferAll() bool {
 	to, ok := q.receiver()
 	if !ok {
--- a/entry/readiness_test.go
+++ b/entry/readiness_test.go
@@ -12,7 +12,8 @@
 	"github.com/cicadadale/cicadadale/standin"
 )
 
-// Guards against a load balancer that sends callers to a VM that has not started, knows no worker, or is stopping.
+// Guards against a VM that does not become ready and healthy after its start, and against a load balancer that sends
+// callers to a VM that is stopping.
 func TestReadinessFollowsTheDaemon(t *testing.T) {
 	d, err := load.StartDeployment(load.DeploymentOptions{
 		Domains: 1, EntryVMs: 1, Workers: 1, Slots: 2, Services: load.DemoServices, Work: standin.DemoWork,
--- a/entry/router.go
+++ b/entry/router.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// forwardMargin is the time allowed for the reply to a forwarded call in addition to the wait at the other VM.
 	forwardMargin = time.Second
 	// forwardLimit bounds the wait of a forwarded call.
 	forwardLimit = 30 * time.Second
@@ -208,7 +209,8 @@
 	return a, err
 }
 
-// locate decides where a call is served: here, or by the entry VM vm. An empty vm means the job's failure domain.
+// locate decides where a call is served: here, or by the entry VM vm. If neither is set, any entry VM of the job's
+// failure domain may serve it.
 func (d *Daemon) locate(ctx context.Context, id contract.JobID) (vm string, here bool, err error) {
 	if id.Home == d.o.VM.Incarnation {
 		return "", true, nil
--- a/entry/slotmessages.go
+++ b/entry/slotmessages.go
@@ -40,8 +40,8 @@
 
 func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// handleStatus records the free slots of a member and the wait of its oldest work. Unmet demand may then move to the
-// member, or away from it if it has no free slots left.
+// handleStatus records the free slots of a member and the wait of its oldest work; reply is set if the status may
+// answer a demand. Unmet demand may then move to the member, or away from it if it has no free slots left.
 func (s *slotBroker) handleStatus(vm string, m *api.SlotStatus, reply bool) {
 	if m == nil {
 		return
@@ -68,8 +68,8 @@
 	s.deliverOwn(st, own)
 }
 
-// handleDemand grants free slots. A member that receives none is sent the status instead, as it may know of free slots
-// elsewhere.
+// handleDemand grants free slots. A member that receives none is sent the status instead, so that it can demand slots
+// of another allocator.
 func (s *slotBroker) handleDemand(vm string, m *api.Demand) {
 	now := s.d.o.Now()
 	st := s.service(m.GetStatus().GetService())
--- a/entry/slotreports.go
+++ b/entry/slotreports.go
@@ -69,7 +69,7 @@
 	}}})
 }
 
-// checkInvariants counts the invariant checks of a service.
+// checkInvariants checks the invariants of a service's slots and counts the checks and violations.
 func (s *slotBroker) checkInvariants(st *serviceSlots, sched *dispatch.Scheduler) {
 	c := st.allocator.TakeChecks()
 	c.Made++
@@ -79,7 +79,7 @@
 	s.counters.checks.Inc(c.Made)
 	if c.Violated > 0 {
 		s.counters.violations.Inc(c.Violated)
-		s.d.o.Logger.Error("slot counts are inconsistent", "service", st.name, "violations", c.Violated)
+		s.d.o.Logger.Error("invariants of slot allocation violated", "service", st.name, "violations", c.Violated)
 	}
 }
 
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -30,10 +30,12 @@
 
 // slotBroker knows the allocator of each worker: the entry VM that leases its slots to the others. It exchanges
 // demands, grants (leases of slots) and returns between the service schedulers of this VM and the allocators. mu guards
-// the maps; the assignment is an immutable snapshot.
+// the maps.
 type slotBroker struct {
-	d          *Daemon
-	placement  *dispatch.Placement
+	d *Daemon
+	// placement chooses the workers under a baseline policy; nil under the default policy, which uses allocators.
+	placement *dispatch.Placement
+	// assignment maps workers to the entry VMs of their allocators. The map is replaced and never changed.
 	assignment atomic.Pointer[map[machine.WorkerID]string]
 	counters   slotCounters
 
@@ -56,16 +58,17 @@
 	allocator *zone.SlotAllocator
 	planner   *zone.DemandPlanner
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// need is the last demand of the scheduler.
 	need contract.SlotDemand
 	// delivering counts the slots granted for the demand that the scheduler has not received yet. They must not be
 	// requested again.
 	delivering zone.Count
 	// lastAnnounced is the number of free slots last reported to the members.
 	lastAnnounced  int
-	demandedAt     time.Time
-	statusSentAt   map[string]time.Time
-	reported       map[string]bool
+	demandedAt     time.Time            // time of the last demand received from a member
+	statusSentAt   map[string]time.Time // time of the last status sent to a member for a demand that was not met
+	reported       map[string]bool      // allocators of the workers in the last report of holdings
 	reconcileUntil time.Time
 }
 
@@ -334,7 +337,8 @@
 	}}})
 }
 
-// deliver sends allocations to their members, one message for each.
+// deliver sends allocations to their members. Consecutive ones with the same member and number form one grant and share
+// a message.
 func (s *slotBroker) deliver(st *serviceSlots, allocations []zone.Allocation) {
 	for len(allocations) > 0 {
 		n := 1
--- a/entry/slots_test.go
+++ b/entry/slots_test.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// wastedTarget and budgetTarget are the targets of the design page: rejected starts and unused grants per task, and
-	// control traffic in bytes/s per entry VM.
+	// wastedTarget and controlTrafficTarget are the targets of the design page: rejected starts and unused grants per
+	// task, and control traffic in bytes/s per entry VM. busyTarget is the minimum share of busy slots while the load
+	// exceeds the capacity.
 	wastedTarget         = 0.02
 	controlTrafficTarget = 8 << 10
 	busyTarget           = 0.95
@@ -139,8 +140,9 @@
 		r.policy = p
 		waste[p] = r.run(t).wasted
 	}
-	require.LessOrEqual(t, waste[dispatch.PolicyDefault], waste[dispatch.PolicyRandom]/2, fmt.Sprint(waste))
-	require.LessOrEqual(t, waste[dispatch.PolicyDefault], waste[dispatch.PolicyBestOfTwo]/2, fmt.Sprint(waste))
+	message := fmt.Sprint("rejected starts and unused grants per task, by policy: ", waste)
+	require.LessOrEqual(t, waste[dispatch.PolicyDefault], waste[dispatch.PolicyRandom]/2, message)
+	require.LessOrEqual(t, waste[dispatch.PolicyDefault], waste[dispatch.PolicyBestOfTwo]/2, message)
 }
 
 // freeSlots returns the number of free slots of all allocators.
--- a/entry/tombstones.go
+++ b/entry/tombstones.go
@@ -23,7 +23,7 @@
 	tombstoneRetryInterval = time.Second
 	tombstoneReadInterval  = 30 * time.Second
 	tombstonePageLimit     = 256
-	// maxUnlogged bounds the number of records that wait to be appended.
+	// maxUnlogged bounds the number of records that wait to be appended; further ones are dropped.
 	maxUnlogged = 1024
 )
 
@@ -214,7 +214,8 @@
 
 func (l *tombstoneLog) apply(data []byte) {
 	var record api.Closure
-	// A record that cannot be decoded belongs to a newer version and names no successor that this version knows.
+	// Records of other failure domains are skipped, and so are records that cannot be decoded: they were written by a
+	// newer version, and this one cannot tell which successor they name.
 	if proto.Unmarshal(data, &record) != nil || record.GetDomain() != uint32(l.d.o.Domain) {
 		return
 	}
--- a/entry/workerpoll.go
+++ b/entry/workerpoll.go
@@ -37,7 +37,7 @@
 	return p.round
 }
 
-// beginUrgent reports whether to poll a worker out of turn. If so, end must be called afterwards.
+// beginUrgent reports whether to poll a worker out of turn. If so, endUrgent must be called afterwards.
 func (p *workerPolls) beginUrgent(id machine.WorkerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
