--- a/standin/control.go
+++ b/standin/control.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// work waits for the run time of a task, at the rate that the home and the idle slots allow. It returns the reason if
-// the task was stopped, and whether the worker's process has ended.
-func (w *Worker) work(t *workerTask, remaining time.Duration) (stopReason string, exited bool) {
+// simulateRun waits for the remaining run time of a task, at the speed that the faults, the home and the idle slots
+// allow. It returns the reason if the task was stopped early, and whether the worker's process has ended.
+func (w *Worker) simulateRun(t *workerTask, remaining time.Duration) (stopReason string, exited bool) {
 	for {
 		rate, leaseEnd, reason := w.rate(t)
 		now := time.Now()
@@ -129,7 +129,8 @@
 	}
 }
 
-// rate returns the speed of a task relative to a worker of speed 1. A checkpointed task runs only while a slot is idle.
+// rate returns the current speed of a task relative to a worker of speed 1, the end of its lease, and the reason if the
+// home has stopped it. A checkpointed task runs only while a slot is idle.
 func (w *Worker) rate(t *workerTask) (rate float64, leaseEnd time.Time, stopReason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/control_test.go
+++ b/standin/control_test.go
@@ -64,8 +64,8 @@
 // Guards against tasks that stay slow after the slowdown has ended: a soak run would wait for them longer than its
 // bound, which counts from the end of all faults.
 func TestSlownessEndsForRunningTasks(t *testing.T) {
-	const hourOfMillis = 3_600_000
-	w, _, _, replies := startTaskOf(t, time.Minute, time.Millisecond, WorkerFaults{Slowdown: hourOfMillis})
+	const slowdown = 3_600_000 // a task of 1 ms takes an hour
+	w, _, _, replies := startTaskOf(t, time.Minute, time.Millisecond, WorkerFaults{Slowdown: slowdown})
 	select {
 	case <-replies:
 		t.Fatal("the slow task has already ended")
--- a/standin/documents.go
+++ b/standin/documents.go
@@ -7,10 +7,10 @@
 	"github.com/cicadadale/cicadadale/machine"
 )
 
-// slotsShown is the number of slots in a worker's entry. It has no effect; the worker's capacity decides.
+// slotsShown is the number of slots in a worker's entry. It has no effect: the worker's capacity limits its tasks.
 const slotsShown = 8
 
-// mustEncode encodes a document that consists of strings and numbers only.
+// mustEncode encodes a document whose values JSON can always represent. An error is a programming error.
 func mustEncode(document any) []byte {
 	b, err := json.Marshal(document)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return b
 }
 
-// JobDocument returns the submission of a best-effort job, which need not be stored, with one step.
+// JobDocument returns the submission of a best-effort job with one step. The daemon need not store a best-effort job.
 func JobDocument(spec string, tasks int, need machine.Resources, estimateMS int) []byte {
 	return mustEncode(map[string]any{
 		"task_spec": spec, "best_effort": true,
--- a/standin/fence_test.go
+++ b/standin/fence_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	require.Equal(t, contract.OutcomeDone, reply.Outcome)
 	_, err = workers.Start(ctx, request(2))
-	require.False(t, fault.IsProvenNotStarted(err), "the task has run")
+	require.False(t, fault.IsProvenNotStarted(err), "the task has run, so a repeated start must not prove that it has not")
 	reply, err = workers.Resolve(ctx, request(5))
 	require.NoError(t, err)
 	require.Equal(t, []byte("r"), reply.Result)
--- a/standin/hostserver.go
+++ b/standin/hostserver.go
@@ -78,6 +78,7 @@
 	}
 }
 
+// key returns the run that a call concerns. Task names have the form that taskName returns.
 func (c hostCall) key() contract.RunKey {
 	parts := strings.Split(c.Task, ".")
 	if len(parts) != 4 {
@@ -89,6 +90,7 @@
 	return contract.RunKey{Batch: parts[0], Step: step, Index: index, Run: c.Run}
 }
 
+// taskName returns the platform's name of a task: job, occurrence, step and index. The occurrence is always 0.
 func taskName(k contract.RunKey) string { return fmt.Sprintf("%s.0.%d.%d", k.Batch, k.Step, k.Index) }
 
 var startReasons = map[link.StartVerdict]string{
@@ -117,8 +119,8 @@
 // dropConnection closes the connection of a call that gets no answer.
 func dropConnection(c *app.RequestContext) {
 	c.SetConnectionClose()
-	// Closing the connection without writing makes a late answer impossible. An error does not matter, since the caller
-	// has given up.
+	// Closing the connection without writing makes a late answer impossible. An error can be ignored, since the
+	// connection is not used any more.
 	_ = c.GetConn().Close()
 }
 
@@ -148,6 +150,7 @@
 		c.JSON(http.StatusConflict, out)
 		return
 	}
+	// The empty columns are the checkpoints, which this worker does not have.
 	for _, r := range reply.Running {
 		out.Running = append(out.Running, []any{taskName(r.Key), r.Key.Run, "", r.Progress})
 	}
--- a/standin/keyedlog.go
+++ b/standin/keyedlog.go
@@ -35,7 +35,8 @@
 	losesAnswers bool
 }
 
-// keyedTopic is one topic. The offset of a record is its index.
+// keyedTopic is one topic. The offset of a record is its index. A record consists of the length of its key in one byte,
+// the key and the value.
 type keyedTopic struct {
 	records [][]byte
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -21,7 +21,8 @@
 	defaultAppendRate = 500
 	// defaultRetention is how long the log keeps records.
 	defaultRetention = 48 * time.Hour
-	defaultRecords   = 1 << 20
+	// defaultRecords is the number of records that the log keeps in each stream.
+	defaultRecords = 1 << 20
 	// maxAppendDelay is the maximum delay of an append beyond the rate. Appends that would wait longer are refused.
 	maxAppendDelay = 200 * time.Millisecond
 )
@@ -63,8 +64,8 @@
 	// LogDown makes all log calls fail, ListDown all calls for the VM list.
 	LogDown  bool
 	ListDown bool
-	// LoseReplies is the number of next appends whose reply is lost after they took effect, LoseReads the number of
-	// next reads whose reply is lost.
+	// LoseReplies is how many of the next appends take effect but lose their reply, LoseReads how many of the next reads
+	// lose their reply.
 	LoseReplies int
 	LoseReads   int
 	// AppendDelay is added to each append, ReadDelay to each read.
@@ -81,7 +82,7 @@
 	streams       map[string]*stream
 	list          vmHistory
 	faults        PlatformFaults
-	reservedUntil time.Time // time up to which appends have used the rate
+	reservedUntil time.Time // earliest time of the next append at the sustained rate
 	stats         PlatformStats
 }
 
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -63,8 +63,8 @@
 	require.NoError(t, err)
 }
 
-// Guards against injected faults without effect: appends with a lost reply are stored, records expire by number and
-// age, and the VM list lags.
+// Guards against injected faults that have no effect or the wrong one: a lost reply must not lose the append, records
+// must expire by number and age, and the VM list must lag.
 func TestPlatformFaults(t *testing.T) {
 	clock := &testClock{now: time.Unix(1000, 0)}
 	p, log, list := startPlatform(t, PlatformLimits{RetainRecords: 3, RetainFor: time.Hour, Now: clock.Now})
--- a/standin/platformstate.go
+++ b/standin/platformstate.go
@@ -34,8 +34,8 @@
 	s.changed = make(chan struct{})
 }
 
-// expire deletes records older than oldest, and of the others all but the newest keep records.
-func (s *stream) expire(oldest time.Time, keep int) {
+// expire deletes the records older than oldest, and the oldest of the others until at most maxRecords are left.
+func (s *stream) expire(oldest time.Time, maxRecords int) {
 	first := s.first
 	for _, r := range s.records {
 		if r.UnixMS >= oldest.UnixMilli() {
@@ -43,7 +43,7 @@
 		}
 		first = r.Offset + 1
 	}
-	if n := uint64(keep); s.next() > n {
+	if n := uint64(maxRecords); s.next() > n {
 		first = max(first, s.next()-n)
 	}
 	s.truncate(first)
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -46,7 +46,7 @@
 	mu        sync.Mutex
 	startTime time.Time
 	fence     uint64        // highest fencing token
-	lease     time.Duration // end of the lease on the worker's clock
+	leaseEnd  time.Duration // end of the lease on the worker's clock
 	used      machine.Resources
 	running   map[contract.RunKey]*hostRun
 	// superseded maps a task to its last run that was stopped or has ended. This run and earlier ones cannot start.
@@ -57,7 +57,8 @@
 	changed    chan struct{}
 	leaseTimer *time.Timer
 	down       bool
-	// delay is the time after which calls are executed; they get no answer. Zero disables the delay.
+	// delay is the time after which starts and stops are executed. While it is set, no call is answered. Zero disables
+	// the delay.
 	delay time.Duration
 	// delayEveryNth delays every nth call by nthDelay; zero disables this.
 	delayEveryNth int
@@ -148,7 +149,7 @@
 	for _, r := range h.running {
 		h.endRun(r, contract.RunEnded, time.Now())
 	}
-	h.fence, h.lease, h.endedRuns, h.endedCount = 0, 0, nil, 0
+	h.fence, h.leaseEnd, h.endedRuns, h.endedCount = 0, 0, nil, 0
 	clear(h.superseded)
 }
 
@@ -201,7 +202,7 @@
 	return true
 }
 
-// Start implements link.HostCalls for one worker.
+// Start executes a start call. Start, Stop and Poll are the calls of link.HostCalls, for one worker.
 func (h *RunHost) Start(ctx context.Context, s link.HostStart) (link.StartVerdict, link.HostReply, error) {
 	if !h.deliver(func() { h.start(s) }) {
 		return 0, link.HostReply{}, h.awaitTimeout(ctx)
@@ -251,10 +252,10 @@
 // extend extends the lease of all runs, by at most maxLease from now. h.mu must be held.
 func (h *RunHost) extend(end time.Duration) {
 	end = min(end, h.clock()+h.maxLease)
-	if end <= h.lease {
+	if end <= h.leaseEnd {
 		return
 	}
-	h.lease = end
+	h.leaseEnd = end
 	if h.leaseTimer != nil {
 		h.leaseTimer.Stop()
 	}
@@ -264,11 +265,11 @@
 func (h *RunHost) expireLease() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.down || h.clock() < h.lease {
+	if h.down || h.clock() < h.leaseEnd {
 		return
 	}
 	for _, r := range h.running {
-		h.endRun(r, contract.RunEnded, h.startTime.Add(h.lease))
+		h.endRun(r, contract.RunEnded, h.startTime.Add(h.leaseEnd))
 	}
 }
 
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -76,7 +76,7 @@
 	startTime   time.Time
 	tasks       map[string]*workerTask
 	running     map[string]*workerTask
-	busy        int
+	busy        int           // slots in use
 	exited      chan struct{} // closed when the process ends
 }
 
@@ -234,7 +234,7 @@
 	if f.FailAll {
 		duration, outcome, reason, result = 0, link.OutcomeFailed, "worker fails everything", nil
 	}
-	stopReason, exited := w.work(t, duration)
+	stopReason, exited := w.simulateRun(t, duration)
 	if stopReason != "" {
 		outcome, reason, result = link.OutcomeFailed, stopReason, nil
 	}
