--- a/load/caller.go
+++ b/load/caller.go
@@ -14,7 +14,8 @@
 type Callers struct {
 	clients []*rpc.Client
 	// slack is added to a job's deadline and run time before its answer counts as missing.
-	slack   time.Duration
+	slack time.Duration
+	// slowest is the speed of the slowest worker.
 	slowest float64
 }
 
@@ -57,6 +58,7 @@
 	return seconds(quantile(trips, 0.5)), nil
 }
 
+// roundTrips is the number of calls that RoundTrip measures on each entry VM.
 const roundTrips = 50
 
 // Run submits a job and its resubmissions. It returns when all answers have arrived or count as missing.
--- a/load/check.go
+++ b/load/check.go
@@ -155,18 +155,19 @@
 	return out
 }
 
-// checkRefused checks that a refusal is accurate. It is false if a task started before the refused submission was sent.
-// A later start makes it false unless another submission, which ended after the refused one was sent, was not refused.
+// checkRefused checks a refusal, which states that no task ran. It is wrong if a task started before the refused
+// submission was sent. It is also wrong if a task started later, unless another submission may have started the task:
+// one that was not refused and ended after the refused submission was sent.
 func (c Checker) checkRefused(r *JobRecord, attempts []Attempt, n int) []Violation {
 	a := attempts[n]
-	excused := false
+	otherMayHaveStarted := false
 	for i, o := range attempts {
-		excused = excused || i != n && !o.refused() && o.Received.After(a.Sent)
+		otherMayHaveStarted = otherMayHaveStarted || i != n && !o.refused() && o.Received.After(a.Sent)
 	}
 	var out []Violation
 	for i, t := range r.Plan.Tasks {
 		st := c.Ledger.Identity(t.Payload.Identity)
-		if st.Count == 0 || excused && st.First.After(a.Sent) {
+		if st.Count == 0 || otherMayHaveStarted && st.First.After(a.Sent) {
 			continue
 		}
 		out = append(out, r.violation(CheckNotRunAccurate, i, a, fmt.Sprintf(
--- a/load/demo.go
+++ b/load/demo.go
@@ -23,8 +23,8 @@
 
 const (
 	demoTimeout  = 50 * time.Second
-	demoParallel = 8
-	demoTasks    = 12
+	demoParallel = 8  // jobs at the same time
+	demoTasks    = 12 // tasks of each job
 )
 
 // DemoServices reads the schema files of both example deployments, glashaus and wakala.
--- a/load/demo_test.go
+++ b/load/demo_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the whole path: jobs on two failure domains, forwarding between the domains, and the same answer from a second
-// entry VM.
+// Guards against faults that show only when all parts run together: incomplete or wrong answers of jobs on two failure
+// domains, resubmissions that are not forwarded between the domains, and another answer from a second entry VM.
 func TestDemo(t *testing.T) {
 	require.NoError(t, Demo(context.Background(), io.Discard, 12, slog.New(slog.DiscardHandler)))
 }
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -51,7 +51,7 @@
 	Entries  []*Entry
 }
 
-// Entry is an entry daemon with its addresses and metrics.
+// Entry is an entry daemon with its caller address and metrics.
 type Entry struct {
 	ID            string
 	Domain        zone.DomainID
--- a/load/ledger.go
+++ b/load/ledger.go
@@ -78,7 +78,8 @@
 // Identity returns the starts recorded for a task identity.
 func (l *StartLedger) Identity(id string) TaskStart { return l.identities[shardIndex(id)].get(id) }
 
-// Totals returns the number of starts, and how many task ids or identities were started more than once.
+// Totals returns the number of starts, and how many task ids or how many identities were started more than once,
+// whichever is more: a second start under the same task id counts for both.
 func (l *StartLedger) Totals() (starts, twice int) {
 	identitiesTwice := 0
 	for i := range ledgerShards {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -221,7 +221,7 @@
 	require.Equal(t, 1, twice)
 }
 
-// Guards against a wait that is not attributed to long work above its cap on the worker's slots.
+// Guards against waits that are not attributed to long work while it holds more of a worker's slots than its cap.
 func TestWaitBehindLongWork(t *testing.T) {
 	r := newWorkerRecord(machine.WorkerID("w"), 4)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
@@ -230,6 +230,7 @@
 		r.started(standin.Start{Task: task, Kind: kindReport, At: at(span[0])}, Payload{Long: true})
 		r.ended(task, at(span[1]))
 	}
+	// The cap allows long work one of the four slots. It holds two or three from second 2 to second 10.
 	blocked := union(r.blockedByLong(0.4, at(30)))
 	require.Equal(t, []interval{{at(2), at(10)}}, blocked)
 	require.Equal(t, 3*time.Second, overlap(interval{at(7), at(15)}, blocked))
--- a/load/measure.go
+++ b/load/measure.go
@@ -9,20 +9,23 @@
 
 // sample is the measurement of one complete job of short tasks.
 type sample struct {
-	at          time.Duration
-	customer    string
-	ratio       float64
-	fastest     float64
-	metDeadline bool
-	wait        time.Duration
+	at       time.Duration // planned arrival, since the start of the run
+	customer string
+	// ratio divides the response time by the longest run time of the job's tasks plus one round trip. ratioFastest
+	// divides it by the time that the longest task would take on the fastest worker, plus one round trip.
+	ratio        float64
+	ratioFastest float64
+	metDeadline  bool
+	wait         time.Duration // longest wait of a task
 }
 
 // measurement computes the report from the records of a run. It is used by one goroutine after the run.
 type measurement struct {
-	run        *Run
-	records    []*JobRecord
-	end        time.Time
-	samples    []sample
+	run     *Run
+	records []*JobRecord
+	end     time.Time
+	samples []sample
+	// waits holds the wait of each short task in ms, behindLong the part of it in which long work blocked slots.
 	waits      []float64
 	behindLong []float64
 }
@@ -124,8 +127,8 @@
 	trip := m.run.roundTrip
 	return sample{
 		at: rec.Plan.At, customer: rec.Plan.Customer, wait: wait, metDeadline: took <= rec.Plan.Deadline,
-		ratio:   float64(took) / float64(longest+trip),
-		fastest: float64(took) / (float64(nominal)/m.run.schedule.Fastest() + float64(trip)),
+		ratio:        float64(took) / float64(longest+trip),
+		ratioFastest: float64(took) / (float64(nominal)/m.run.schedule.Fastest() + float64(trip)),
 	}
 }
 
@@ -134,7 +137,7 @@
 	byCustomer := make(map[string][]float64)
 	for _, s := range m.samples {
 		ratios = append(ratios, s.ratio)
-		fastest = append(fastest, s.fastest)
+		fastest = append(fastest, s.ratioFastest)
 		byCustomer[s.customer] = append(byCustomer[s.customer], s.ratio)
 	}
 	r.ResponseRatioP50, r.ResponseRatioP99 = quantile(ratios, 0.5), quantile(ratios, 0.99)
@@ -150,7 +153,7 @@
 }
 
 // measurePeak compares the tasks served before their deadline during the peak with the lesser of demand and capacity.
-// Without a peak it computes the share of all tasks that were served before their deadline.
+// Without a peak the whole run counts, including answers that arrive after the last job was submitted.
 func (m *measurement) measurePeak(r *Report) {
 	begin := m.run.begin
 	peaks := m.run.workload.Demand.Peaks(time.Duration(m.run.workload.Duration))
@@ -176,6 +179,7 @@
 		}
 	}
 	capacity := m.run.schedule.Capacity(m.run.workload) * length
+	// The capacity in tasks is the work that the workers can perform during the peak, divided by the mean work of a task.
 	r.PeakTasksCapacity = share(capacity*float64(r.PeakTasksDemanded), work)
 	r.PeakServedRatio = share(float64(r.PeakTasksServed), min(float64(r.PeakTasksDemanded), r.PeakTasksCapacity))
 	r.PeakSlotsBusyShare = share(busy, length)
@@ -196,26 +200,26 @@
 	t := m.run.recorder.totals()
 	d := m.run.counters().sub(m.run.startCounters)
 	background := m.run.idlePeerRate * m.end.Sub(m.run.begin).Seconds()
-	peer := max(0, float64(d.peer)-background)
+	peer := max(0, float64(d.peerMessages)-background)
 	tasks := float64(r.TasksStarted)
 	direct := 2 * float64(r.TasksStarted+t.rejectedAll+t.fenced)
 	r.MessagesPerTask = share(direct+peer, tasks)
 	// A rejected start and a fence each cost a message and its reply, an unused grant a message and its return.
-	r.WastedMessagesPerTask = share(2*float64(t.rejectedAll+t.fenced)+2*float64(d.unused), tasks)
+	r.WastedMessagesPerTask = share(2*float64(t.rejectedAll+t.fenced)+2*float64(d.unusedGrants), tasks)
 	r.BackgroundMessagesPerS = m.run.idlePeerRate + m.run.idlePollRate
 	r.StartsRejected, r.RejectedByReason, r.Fences = t.rejectedAll, t.rejected, t.fenced
-	r.GrantsUnused, r.PeerMessages = d.unused, d.peer
+	r.GrantsUnused, r.PeerMessages = d.unusedGrants, d.peerMessages
 }
 
 // daemonCounters are counters summed over all entry daemons.
-type daemonCounters struct{ peer, unused int64 }
+type daemonCounters struct{ peerMessages, unusedGrants int64 }
 
 func (c daemonCounters) sub(o daemonCounters) daemonCounters {
-	return daemonCounters{c.peer - o.peer, c.unused - o.unused}
+	return daemonCounters{c.peerMessages - o.peerMessages, c.unusedGrants - o.unusedGrants}
 }
 
 func (r *Run) counters() daemonCounters {
 	return daemonCounters{
-		peer: r.deployment.Counter(metric.PeerMessagesSent), unused: r.deployment.Counter(metric.GrantsUnused),
+		peerMessages: r.deployment.Counter(metric.PeerMessagesSent), unusedGrants: r.deployment.Counter(metric.GrantsUnused),
 	}
 }
--- a/load/network.go
+++ b/load/network.go
@@ -16,7 +16,8 @@
 type Network struct {
 	mu     sync.Mutex
 	relays map[route]*Relay
-	// down counts the crashes in progress of each destination, so that relays opened during a crash are cut as well.
+	// down counts the calls of Down that are in effect for each destination, so that relays opened meanwhile are cut as
+	// well.
 	down map[string]int
 }
 
--- a/load/payload.go
+++ b/load/payload.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// payloadHeader is the length of the nominal run time and the flags, which precede a task's identity.
+// payloadHeader is the number of bytes before a task's identity: 8 for the nominal run time in us and 1 for the flags.
 const payloadHeader = 9
 
 const (
--- a/load/process.go
+++ b/load/process.go
@@ -43,9 +43,9 @@
 	mu           sync.Mutex
 	process      *child.Process
 	exitExpected bool
-	busy         bool
-	retired      bool
-	disturbed    bool
+	reserved     bool // by a fault that stops, pauses or kills the process
+	retired      bool // permanently out of service
+	wasPaused    bool // since the start of the daemon
 }
 
 // EntrySetup holds the parameters of an entry daemon.
@@ -94,8 +94,8 @@
 // NewAddresses returns an allocator for addresses of one IP address.
 func NewAddresses(ip string) *Addresses { return &Addresses{ip: ip, used: make(map[string]bool)} }
 
-// Free returns a random address that is not in use, was not returned before and lies below the kernel's range of
-// ephemeral ports. It does not use the seed of the run.
+// Free returns a random address that is not in use and was not returned before. Its port lies below the kernel's range
+// of ephemeral ports. It does not use the seed of the run.
 func (a *Addresses) Free() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,7 +134,7 @@
 		return err
 	}
 	p.mu.Lock()
-	p.process, p.disturbed, p.exitExpected = process, false, false
+	p.process, p.wasPaused, p.exitExpected = process, false, false
 	p.mu.Unlock()
 	go func() {
 		<-process.Exited()
@@ -203,15 +203,15 @@
 	_, _ = p.Wait(listenTimeout)
 }
 
-// Reserve reserves the process for a fault that stops or kills it. It reports false if the process is reserved or
-// retired.
+// Reserve reserves the process for a fault that stops, pauses or kills it. It reports false if the process is reserved
+// or retired.
 func (p *EntryProcess) Reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy || p.retired {
+	if p.reserved || p.retired {
 		return false
 	}
-	p.busy = true
+	p.reserved = true
 	return true
 }
 
@@ -219,7 +219,7 @@
 func (p *EntryProcess) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy = false
+	p.reserved = false
 }
 
 // Retire marks the VM as permanently out of service and stops serving the list to it.
@@ -237,17 +237,17 @@
 	return !p.retired
 }
 
-// MarkDisturbed records that the daemon has been paused since its start, so that the other entry VMs may count it as
+// MarkPaused records that the daemon has been paused since its start, so that the other entry VMs may count it as
 // gone.
-func (p *EntryProcess) MarkDisturbed() {
+func (p *EntryProcess) MarkPaused() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.disturbed = true
+	p.wasPaused = true
 }
 
-// Disturbed reports whether the daemon has been paused since its start.
-func (p *EntryProcess) Disturbed() bool {
+// WasPaused reports whether the daemon has been paused since its start.
+func (p *EntryProcess) WasPaused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.disturbed
+	return p.wasPaused
 }
--- a/load/relay.go
+++ b/load/relay.go
@@ -13,8 +13,9 @@
 type Relay struct {
 	listener net.Listener
 
-	mu         sync.Mutex
-	target     string
+	mu     sync.Mutex
+	target string
+	// cuts and replyDrops count the calls of Cut and LoseReplies that have not been reverted.
 	cuts       int
 	replyDrops int
 	// delay is added to everything that is forwarded, in either direction.
--- a/load/report.go
+++ b/load/report.go
@@ -1,6 +1,6 @@
 package load
 
-// Report is the result of a load run. The first block of fields is the interface of section 10 of the design page.
+// Report is the result of a load run. Its first fields are the interface of section 10 of the design page.
 type Report struct {
 	Policy                     string             `json:"policy"`
 	Seed                       uint64             `json:"seed"`
--- a/load/run.go
+++ b/load/run.go
@@ -44,7 +44,7 @@
 	begin                      time.Time
 	startCounters              daemonCounters
 	idlePeerRate, idlePollRate float64
-	lateness                   []float64
+	lateness                   []float64 // of the submission of each job, in ms
 }
 
 // RunLoad starts a deployment, applies the workload, and returns the report and the plot of the run.
@@ -110,7 +110,8 @@
 		return ctx.Err()
 	}
 	d := r.counters().sub(before)
-	r.idlePeerRate = float64(d.peer) / idleTime.Seconds()
+	r.idlePeerRate = float64(d.peerMessages) / idleTime.Seconds()
+	// A poll costs a message and its reply.
 	r.idlePollRate = 2 * float64(r.recorder.totals().polled-polled) / idleTime.Seconds()
 	return nil
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -15,7 +15,7 @@
 // PlannedJob is a job drawn by the generator.
 type PlannedJob struct {
 	Number   int
-	At       time.Duration
+	At       time.Duration // arrival, since the start of the run
 	Long     bool
 	Customer string
 	// Entry is the index of the entry VM that the caller uses, Other that of the entry VM for resubmissions.
@@ -203,11 +203,11 @@
 	switch {
 	case long:
 		kind = kindReport
-		p.Nominal = g.span(g.w.Long.Shortest, g.w.Long.Longest)
+		p.Nominal = g.logUniformDuration(g.w.Long.Shortest, g.w.Long.Longest)
 	case g.rng.Float64() < t.SlowShare:
-		p.Nominal = g.span(t.Longest, t.SlowLongest)
+		p.Nominal = g.logUniformDuration(t.Longest, t.SlowLongest)
 	default:
-		p.Nominal = g.span(t.Shortest, t.Longest)
+		p.Nominal = g.logUniformDuration(t.Shortest, t.Longest)
 	}
 	if !long && p.Nominal <= time.Duration(t.Longest) && g.rng.Float64() < t.StragglerShare {
 		p.Straggler = true
@@ -227,7 +227,7 @@
 	return kindReport
 }
 
-func (g *generator) span(from, to Duration) time.Duration {
+func (g *generator) logUniformDuration(from, to Duration) time.Duration {
 	return time.Duration(g.logUniform(float64(from), float64(to)))
 }
 
--- a/load/soak.go
+++ b/load/soak.go
@@ -34,7 +34,8 @@
 	stopBound = 65 * time.Second
 )
 
-// identifiers matches the ids and addresses in which details of the same cause differ.
+// identifiers matches ids and addresses. Without them, task details that have the same cause are equal and are counted
+// together.
 var identifiers = regexp.MustCompile(`(entry|worker|j)-[0-9a-f.-]+|127\.0\.0\.1:[0-9]+|[0-9a-f]{16}`)
 
 // SoakOptions configure a randomised run.
@@ -49,8 +50,7 @@
 	Out io.Writer
 }
 
-// SoakReport is the result of a randomised run. The first block of fields is the interface of section 10 of the design
-// page.
+// SoakReport is the result of a randomised run. Its first fields are the interface of section 10 of the design page.
 type SoakReport struct {
 	Seed            uint64         `json:"seed"`
 	TasksStarted    int            `json:"tasks_started"`
@@ -72,11 +72,11 @@
 
 // soakWorker is a worker stand-in of a soak run. The mu of the run guards the flags.
 type soakWorker struct {
-	worker  *standin.Worker
-	domain  zone.DomainID
-	busy    bool
-	crashed bool
-	removed bool
+	worker   *standin.Worker
+	domain   zone.DomainID
+	reserved bool
+	crashed  bool
+	removed  bool
 }
 
 // Soak is one randomised run: entry daemons as child processes, workers and the platform stand-in in this process, and
@@ -99,7 +99,7 @@
 	entries []*EntryProcess
 	nextVM  int
 	nextJob int
-	// leavingShown holds, for each entry VM, when it was first shown that a VM is leaving.
+	// leavingShown holds, by entry VM and leaving VM, when the entry VM was first sent a list with the other as leaving.
 	leavingShown map[string]map[string]time.Time
 	// homeProcess holds the process of each incarnation that has assigned a job id; stopped and crashed hold the times at
 	// which such incarnations were stopped as planned or lost.
@@ -118,7 +118,8 @@
 	answersDue        time.Time
 	// faultLog lists the faults with their times for the file faults.log, which is kept beside the daemons' logs.
 	faultLog []string
-	// fenced counts the daemons that exited because the other entry VMs counted them as gone.
+	// fenced counts the unexpected exits of daemons. Without a violation, all of them occurred because the other entry
+	// VMs counted the daemon as gone.
 	fenced int
 }
 
@@ -244,7 +245,7 @@
 func (s *Soak) drive(operators *operators) {
 	end := time.Now().Add(s.o.Duration)
 	s.mu.Lock()
-	// Brought forward to the actual time when all faults have ended.
+	// A provisional value: the time at which all faults will have ended is not known yet.
 	s.answersDue = end.Add(time.Hour)
 	s.mu.Unlock()
 	var callers sync.WaitGroup
@@ -483,7 +484,7 @@
 	s.clients.Close()
 	s.network.Close()
 	for _, w := range workers {
-		// A worker that was removed may be closed already.
+		// The run has ended; a server that fails to stop ends with the process.
 		wg.Go(func() { _ = w.worker.Close() })
 	}
 	if s.platform != nil {
--- a/load/soakcaller.go
+++ b/load/soakcaller.go
@@ -13,7 +13,8 @@
 
 const (
 	soakMostTasks = 8
-	// One in keyedOneIn jobs is submitted under a key of the caller; the log's append rate limits their number.
+	// keyedOneIn is the number of jobs of which on average one is submitted under a key of the caller. The append rate of
+	// the log limits the number of such jobs.
 	keyedOneIn = 12
 	// attemptTimeout is how long a caller waits for one entry VM before it tries another.
 	attemptTimeout = 3 * time.Second
--- a/load/soakconfig.go
+++ b/load/soakconfig.go
@@ -17,13 +17,13 @@
 	// configConflict is the name under which races between operators are counted among the injected faults.
 	configConflict = "config_conflict"
 	configStream   = "config"
-	configPage     = 256
+	configPage     = 256 // records in one read of the log
 	// configPause is the mean time between races; each race costs two or three appends.
-	configPause = time.Second
-	configCall  = time.Second
+	configPause       = time.Second
+	configCallTimeout = time.Second
 	// configBound is the time after the end of all faults within which the configuration must be in effect on all entry
 	// VMs: the target of 3 s and the time of the last call.
-	configBound = 3*time.Second + configCall
+	configBound = 3*time.Second + configCallTimeout
 )
 
 // operators publish competing configuration changes and read the revision in effect on each entry VM. mu guards the
@@ -61,7 +61,7 @@
 
 // readLog applies all records of the log.
 func (o *operators) readLog() error {
-	ctx, cancel := context.WithTimeout(context.Background(), configCall)
+	ctx, cancel := context.WithTimeout(context.Background(), configCallTimeout)
 	defer cancel()
 	for {
 		page, err := o.log.Read(ctx, configStream, o.state.Position(), configPage, 0)
@@ -94,7 +94,7 @@
 		data, err := config.EncodeRecord(contract.ConfigRecord{Change: &change})
 		o.s.reportError(err)
 		publishing.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), configCall)
+			ctx, cancel := context.WithTimeout(context.Background(), configCallTimeout)
 			defer cancel()
 			// If the reply is lost, the change may or may not have been appended.
 			_, _ = o.log.Append(ctx, configStream, data)
@@ -117,7 +117,7 @@
 
 // revisionOf returns the revision in effect on an entry VM, and false if the VM does not answer or knows none.
 func (o *operators) revisionOf(p *EntryProcess) (uint64, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), configCall)
+	ctx, cancel := context.WithTimeout(context.Background(), configCallTimeout)
 	defer cancel()
 	r, err := rpc.ShowConfiguration(ctx, p.Callers, true, nil)
 	if err != nil || !r.GetKnown() {
@@ -150,7 +150,7 @@
 		o.s.countChecks(CheckConfigInEffect, 1)
 		revision, ok := o.revisionOf(p)
 		for (!ok || revision < want) && time.Now().Before(deadline) {
-			time.Sleep(configCall / 10)
+			time.Sleep(configCallTimeout / 10)
 			revision, ok = o.revisionOf(p)
 		}
 		if !ok || revision < want {
--- a/load/soakfault.go
+++ b/load/soakfault.go
@@ -28,7 +28,7 @@
 	kind string
 	// span is the duration of the fault, lag the delay with which the platform's list is updated.
 	span, lag time.Duration
-	// a and b select the machines, coin one of two variants.
+	// a and b select the machines, coin selects one of two variants.
 	a, b uint64
 	coin bool
 }
@@ -130,7 +130,7 @@
 	var candidates []*EntryProcess
 	for _, p := range s.entries {
 		p.mu.Lock()
-		if !p.busy && !p.retired {
+		if !p.reserved && !p.retired {
 			free[p.Domain]++
 			candidates = append(candidates, p)
 		}
@@ -184,7 +184,7 @@
 		return false
 	}
 	defer p.Release()
-	p.MarkDisturbed()
+	p.MarkPaused()
 	s.recordOutage(p)
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(f.span)
@@ -243,7 +243,7 @@
 
 // recordStop marks the incarnations of a process that was stopped as planned and had not been paused before.
 func (s *Soak) recordStop(p *EntryProcess, begin time.Time) {
-	if !p.Disturbed() {
+	if !p.WasPaused() {
 		s.markIncarnations(p, s.stopped, begin)
 	}
 }
@@ -263,12 +263,12 @@
 }
 
 // markIncarnations sets the time of all incarnations of a process that were not lost before.
-func (s *Soak) markIncarnations(p *EntryProcess, in map[machine.Incarnation]time.Time, at time.Time) {
+func (s *Soak) markIncarnations(p *EntryProcess, times map[machine.Incarnation]time.Time, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for inc, home := range s.homeProcess {
 		if home == p && s.crashed[inc].IsZero() {
-			in[inc] = at
+			times[inc] = at
 		}
 	}
 }
--- a/load/soaknetwork.go
+++ b/load/soaknetwork.go
@@ -121,21 +121,21 @@
 	defer s.mu.Unlock()
 	free := 0
 	for _, o := range s.workers {
-		if !o.busy && !o.removed && o.domain == w.domain {
+		if !o.reserved && !o.removed && o.domain == w.domain {
 			free++
 		}
 	}
-	if w.busy || free <= 2 {
+	if w.reserved || free <= 2 {
 		return nil
 	}
-	w.busy = true
+	w.reserved = true
 	return w
 }
 
 func (s *Soak) releaseWorker(w *soakWorker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.busy = false
+	w.reserved = false
 }
 
 // crashWorker restarts a worker as a new incarnation at the same address; its links are cut for the duration of the
@@ -188,6 +188,7 @@
 }
 
 // logFaults applies a fault to the platform's log for the duration of the fault. Overlapping log faults are combined.
+// At the end of each one, the oldest one in effect is removed.
 func (s *Soak) logFaults(f plannedFault, apply func(*standin.PlatformFaults)) bool {
 	s.setLogFaults(func(fs []func(*standin.PlatformFaults)) []func(*standin.PlatformFaults) { return append(fs, apply) })
 	time.Sleep(f.span)
--- a/load/workerrecord.go
+++ b/load/workerrecord.go
@@ -90,7 +90,7 @@
 	return append(out, intervalsAbove(changes, int(longCap*float64(r.slots)))...)
 }
 
-// levelChange changes a level by step at a time.
+// levelChange changes a level by step; at is the time of the change.
 type levelChange struct {
 	at   time.Time
 	step int
--- a/load/workload.go
+++ b/load/workload.go
@@ -156,6 +156,7 @@
 	return out
 }
 
+// notShare reports whether v lies outside the range from 0 to 1 or is not a number.
 func notShare(v float64) bool { return !(v >= 0 && v <= 1) }
 
 func (d WorkloadDeployment) rules() []workloadRule {
