--- a/soak/check.go
+++ b/soak/check.go
@@ -61,7 +61,9 @@
 	}
 }
 
-// checkLostRequest checks that a request without an answer was not lost because of a planned stop alone.
+// checkLostRequest checks that a request without an answer was not lost in a planned stop of its daemon. A request
+// counts as lost in a stop if it failed before its time limit, between the start of the stop and 1 s after its end. A
+// request that was sent less than grace/6 before that end, or later, does not count.
 func (s *Soak) checkLostRequest(j *job, a attempt) {
 	s.countChecks(CheckStopCutsNothing, 1)
 	lost := a.sent.Add(a.elapsed)
--- a/soak/client.go
+++ b/soak/client.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// submit retries a job until it is answered or refused, or until its time limit leaves no time for another attempt.
+// submit submits a job and retries until it is answered or refused, or until its time limit leaves no time for another
+// attempt. Each retry goes to the next daemon of the failure domain.
 func (c *client) submit(j *job) {
 	deadline := time.Now().Add(j.limit)
 	pick := c.rng.IntN(len(c.s.daemons))
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -37,8 +37,8 @@
 
 	mu      sync.Mutex
 	process *child.Process
-	// busy is set while a fault stops, pauses or kills the process.
-	busy bool
+	// reserved is set while a fault acts on the process by signals.
+	reserved bool
 	// failed is set when the process has exited unexpectedly.
 	failed bool
 	// stopping is set before the process is signalled to exit.
@@ -108,17 +108,17 @@
 func (d *daemon) reserve() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.busy {
+	if d.reserved {
 		return false
 	}
-	d.busy = true
+	d.reserved = true
 	return true
 }
 
 func (d *daemon) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.busy = false
+	d.reserved = false
 }
 
 func (d *daemon) signal(s syscall.Signal) {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -36,7 +36,8 @@
 	finalJobs = 3
 )
 
-// capacity is the capacity of each worker, taskNeed the resources that each task needs.
+// capacity is the capacity of each worker, taskNeed the resources that each task needs. A worker can run two tasks at a
+// time.
 var (
 	capacity = machine.Resources{CPUMillis: 64_000, MemoryMB: 131_072}
 	taskNeed = machine.Resources{CPUMillis: 27_000, MemoryMB: 64}
@@ -219,7 +220,8 @@
 	}))
 }
 
-// plannedRun derives the outcome of a run from its key: most runs take less than a second, a few take several seconds.
+// plannedRun derives the course of a run from its key: most runs take less than a second, and a few take up to several
+// seconds, fail or never end.
 func plannedRun(key contract.RunKey) standin.RunPlan {
 	h := xxhash.Sum64String(key.String())
 	duration := time.Duration(30+h%500) * time.Millisecond
