--- a/command/config.go
+++ b/command/config.go
@@ -18,7 +18,7 @@
 
 const (
 	configStream = "config"
-	configPage   = 256
+	configPage   = 256 // records in one read of the log
 )
 
 func configCommand() *cli.Command {
--- a/command/configwatch.go
+++ b/command/configwatch.go
@@ -17,8 +17,10 @@
 )
 
 const (
+	// watchTimeout bounds one poll of all entry VMs.
 	watchTimeout = time.Second
-	retryWait    = 100 * time.Millisecond
+	// retryWait is how long publish waits for new records, or after an error, before it reads the log again.
+	retryWait = 100 * time.Millisecond
 )
 
 func configWatchCommand() *cli.Command {
--- a/command/control_bench_test.go
+++ b/command/control_bench_test.go
@@ -27,6 +27,7 @@
 )
 
 const (
+	// controlSettle is the time from the readiness of the daemon until the measurement, which takes controlMeasure.
 	controlSettle  = 4 * time.Second
 	controlMeasure = 6 * time.Second
 	// clockTicks is the number of ticks per second of CPU times in /proc on Linux.
@@ -58,7 +59,7 @@
 		"members": {{2, 24, 1, 0}, {4, 24, 1, 0}, {8, 24, 1, 0}},
 		"workers": {{2, 24, 1, 0}, {2, 96, 1, 0}, {2, 187, 1, 0}},
 		"domains": {{2, 24, 1, 0}, {2, 24, 8, 0}, {2, 24, 23, 0}},
-		// A failure domain of the two-year size, with one entry VM in each of the 22 others.
+		// A failure domain of 8 entry VMs and 187 workers, the two-year size, with one entry VM in each of the 22 others.
 		"two-year": {{8, 187, 23, 0}},
 		"starts":   {{2, 48, 1, 0}, {2, 48, 1, 200}, {2, 48, 1, 400}},
 	}
--- a/command/job.go
+++ b/command/job.go
@@ -241,7 +241,8 @@
 	}
 }
 
-// printStatus prints the progress of a job as one line of JSON.
+// printStatus prints the progress of a job as one line of JSON. Verdicts on the wire are one higher than those of
+// package contract, because their zero value means that none is specified.
 func printStatus(w io.Writer, st *api.JobStatus) error {
 	return json.NewEncoder(w).Encode(statusOutput{
 		Job: st.GetJobId(), Verdict: contract.Verdict(st.GetVerdict() - 1).String(), Tasks: st.GetTasks(),
