--- a/timeline/collect.go
+++ b/timeline/collect.go
@@ -16,7 +16,7 @@
 // collectTimeout bounds the request to one process.
 const collectTimeout = 10 * time.Second
 
-// Collector fetches the parts of several processes.
+// Collector fetches the parts of a timeline from several processes.
 type Collector struct {
 	client *client.Client
 }
--- a/timeline/merge_test.go
+++ b/timeline/merge_test.go
@@ -63,8 +63,8 @@
 	return ParseFilter(q)
 }
 
-// Guards against filters that pass non-matching events or drop matching ones, and against a filter that changes when it
-// is encoded as a query and parsed again.
+// Guards against filters that pass non-matching events or drop matching ones, against a filter that changes when it is
+// encoded as a query and parsed again, and against events left out by the limit that are not counted.
 func TestFilters(t *testing.T) {
 	r := NewRing(Process{VM: "entry-1", Incarnation: 7}, 64, &Clock{}, fixedNow)
 	r.Record(Event{Kind: GrantIssued, Peer: "entry-2", Worker: "worker-1"})
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -57,12 +57,13 @@
 	_ [64]byte
 }
 
-// NewRing returns a ring that holds the given number of events.
+// NewRing returns a ring that holds the given number of events, rounded down to the same number in each stripe, but at
+// least one.
 func NewRing(p Process, events int, clock *Clock, now func() time.Time) *Ring {
 	r := &Ring{process: p, clock: clock, now: now}
-	per := max(1, events/ringStripes)
+	stripeEvents := max(1, events/ringStripes)
 	for i := range r.stripes {
-		r.stripes[i].events = make([]Event, per)
+		r.stripes[i].events = make([]Event, stripeEvents)
 	}
 	return r
 }
