--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -32,8 +32,8 @@
 	// stallTimeout is the time without progress after which a run is treated as stalled. One percent of the longest tasks
 	// on the slowest workers takes half a second.
 	stallTimeout = 900 * time.Millisecond
-	// tokenRandomRange makes two VMs that acquire a worker in the same millisecond use different tokens. Tokens stay
-	// below 2^53, the limit up to which every JSON decoder reads integers exactly.
+	// tokenRandomRange makes it unlikely that two VMs that acquire a worker in the same millisecond use the same token.
+	// Tokens stay below 2^53, the limit up to which every JSON decoder reads integers exactly.
 	tokenRandomRange = 1 << 12
 )
 
@@ -49,8 +49,8 @@
 	return uint64(millis)*tokenRandomRange + rand.Uint64N(tokenRandomRange)
 }
 
-// ownedHost is an owned worker with its runs. The pool's lock guards host, runs and dropped; the other fields belong
-// to the goroutine of maintain.
+// ownedHost is a worker that this VM owns or tries to acquire, with its runs. address, cancel and wakeup do not change;
+// the pool's lock guards all other fields.
 type ownedHost struct {
 	host            *machine.Host
 	runs            map[contract.RunKey]*run
@@ -67,9 +67,9 @@
 	unackedOutcomes bool
 }
 
-func (t *ownedHost) wake() {
+func (h *ownedHost) wake() {
 	select {
-	case t.wakeup <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -77,9 +77,9 @@
 // leaseLimit returns the latest time to which the lease of a worker may be extended now. One lease covers all runs of
 // a worker, so the least recently refreshed run decides. A run that no home has claimed prevents an extension: its
 // home may have died, and its client may be running the job elsewhere before the lease ends.
-func (t *ownedHost) leaseLimit(now time.Time, lease time.Duration) time.Time {
+func (h *ownedHost) leaseLimit(now time.Time, lease time.Duration) time.Time {
 	limit := now.Add(lease)
-	for _, r := range t.runs {
+	for _, r := range h.runs {
 		if !r.claimed {
 			return now
 		}
@@ -92,35 +92,35 @@
 
 // maintain owns a worker until ctx ends: it acquires the worker, renews the lease of its runs and collects their
 // outcomes.
-func (p *Pool) maintain(ctx context.Context, t *ownedHost) {
+func (p *Pool) maintain(ctx context.Context, h *ownedHost) {
 	unreached := false
 	for ctx.Err() == nil {
-		if owned, wait := p.ownership(t); !owned {
+		if owned, wait := p.ownership(h); !owned {
 			pause(ctx, wait, nil)
-			if reached, err := p.probe(ctx, t); err != nil {
+			if probed, err := p.probe(ctx, h); err != nil {
 				unreached = true
 				pause(ctx, acquireRetry+rand.N(acquireRetry), nil)
 			} else if unreached {
 				unreached = false
 				pause(ctx, reconnectDelay, nil)
-			} else if !p.acquire(ctx, t, reached) {
+			} else if !p.acquire(ctx, h, probed) {
 				pause(ctx, acquireRetry+rand.N(acquireRetry), nil)
 			}
 			continue
 		}
-		poll, due := p.nextPoll(t)
+		poll, due := p.nextPoll(h)
 		if !due {
-			pause(ctx, idlePollInterval, t.wakeup)
-			poll, _ = p.nextPoll(t)
+			pause(ctx, idlePollInterval, h.wakeup)
+			poll, _ = p.nextPoll(h)
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		sent := p.o.Now()
-		callCtx, cancel := context.WithTimeout(ctx, poll.Wait+p.pollTimeout(t))
-		reply, err := p.o.Calls.Poll(callCtx, t.address, poll)
+		callCtx, cancel := context.WithTimeout(ctx, poll.Wait+p.pollTimeout(h))
+		reply, err := p.o.Calls.Poll(callCtx, h.address, poll)
 		cancel()
-		if !p.handlePollReply(t, sent, reply, err) {
+		if !p.handlePollReply(h, sent, reply, err) {
 			pause(ctx, pollRetry, nil)
 		}
 	}
@@ -128,10 +128,10 @@
 
 // pollTimeout returns how long a reply to a poll may take beyond its wait. After the first late reply the poll is
 // repeated soon, since a delayed outcome delays its job; later polls allow for retransmitted packets.
-func (p *Pool) pollTimeout(t *ownedHost) time.Duration {
+func (p *Pool) pollTimeout(h *ownedHost) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t.pollFailed {
+	if h.pollFailed {
 		return callTimeout
 	}
 	return firstPollTimeout
@@ -148,144 +148,145 @@
 }
 
 // ownership reports whether the worker is owned, and otherwise how long to wait before it is acquired again.
-func (p *Pool) ownership(t *ownedHost) (bool, time.Duration) {
+func (p *Pool) ownership(h *ownedHost) (bool, time.Duration) {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t.host.Token != 0 {
+	if h.host.Token != 0 {
 		return true, 0
 	}
-	if t.ownershipLostAt.IsZero() {
+	if h.ownershipLostAt.IsZero() {
 		return false, 0
 	}
-	return false, max(reacquireDelay-now.Sub(t.ownershipLostAt), 0)
+	return false, max(reacquireDelay-now.Sub(h.ownershipLostAt), 0)
 }
 
 // nextPoll returns the next poll, and whether it has to be sent at once.
-func (p *Pool) nextPoll(t *ownedHost) (link.HostPoll, bool) {
+func (p *Pool) nextPoll(h *ownedHost) (link.HostPoll, bool) {
 	now := p.o.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastOutcome}
-	if len(t.runs) == 0 {
-		return h, t.unackedOutcomes
+	poll := link.HostPoll{Token: h.host.Token, LastOutcome: h.host.LastOutcome}
+	if len(h.runs) == 0 {
+		return poll, h.unackedOutcomes
 	}
 	// The lease is not extended while the worker does not reply: its runs end when the lease expires.
-	if t.pollFailed {
-		return h, true
+	if h.pollFailed {
+		return poll, true
 	}
-	h.Wait = maxPollWait
-	if left := t.leaseLimit(now, p.o.Lease).Sub(now); left > 0 {
-		h.LeaseEnd = t.host.ExtendLease(left, now)
+	poll.Wait = maxPollWait
+	if left := h.leaseLimit(now, p.o.Lease).Sub(now); left > 0 {
+		poll.LeaseEnd = h.host.ExtendLease(left, now)
 	}
-	return h, true
+	return poll, true
 }
 
 // probe reads the clock of a worker that is not owned, without affecting its owner.
-func (p *Pool) probe(ctx context.Context, t *ownedHost) (link.PollReply, error) {
+func (p *Pool) probe(ctx context.Context, h *ownedHost) (link.PollReply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := p.o.Calls.Poll(callCtx, t.address, link.HostPoll{})
+	reply, err := p.o.Calls.Poll(callCtx, h.address, link.HostPoll{})
 	if err != nil {
-		p.o.Calls.CloseIdleConnections(t.address)
+		p.o.Calls.CloseIdleConnections(h.address)
 	}
 	return reply, err
 }
 
 // startTimeOf returns the start time of a worker's incarnation. The reply to a fenced poll does not contain it; the
 // worker's listing does.
-func (p *Pool) startTimeOf(t *ownedHost, probed link.PollReply) int64 {
+func (p *Pool) startTimeOf(h *ownedHost, probed link.PollReply) int64 {
 	if probed.StartTime != 0 {
 		return probed.StartTime
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(t.startTime, t.host.Listing.StartTime)
+	return max(h.startTime, h.host.Listing.StartTime)
 }
 
 // acquire makes this VM the owner of a worker that has replied to a probe.
-func (p *Pool) acquire(ctx context.Context, t *ownedHost, probed link.PollReply) bool {
+func (p *Pool) acquire(ctx context.Context, h *ownedHost, probed link.PollReply) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	token := newToken(p.startTimeOf(t, probed), probed.Clock)
-	reply, err := p.o.Calls.Poll(callCtx, t.address, link.HostPoll{Token: token})
+	token := newToken(p.startTimeOf(h, probed), probed.Clock)
+	reply, err := p.o.Calls.Poll(callCtx, h.address, link.HostPoll{Token: token})
 	if err != nil || reply.Fenced || reply.OtherIncarnation {
-		p.o.Logger.Info("worker was not acquired", "worker", t.address.Worker, "token", token, "fenced", reply.Fenced,
-			"other_life", reply.OtherIncarnation, "error", err)
+		p.o.Logger.Info("could not acquire the worker; retrying", "worker", h.address.Worker, "token", token,
+			"fenced", reply.Fenced, "other_life", reply.OtherIncarnation, "error", err)
 		return false
 	}
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
-	if t.dropped {
+	if h.dropped {
 		p.mu.Unlock()
 		return false
 	}
-	if t.startTime != 0 && reply.StartTime != t.startTime {
-		t.host.Restarted(reply.Clock, now, p.o.Lease)
+	if h.startTime != 0 && reply.StartTime != h.startTime {
+		h.host.Restarted(reply.Clock, now, p.o.Lease)
 	}
-	t.startTime = reply.StartTime
-	t.host.SetClock(reply.Clock, now)
-	t.host.Token = token
-	t.unackedOutcomes = len(reply.Ended) > 0
-	found := p.adopt(t, reply, now)
+	h.startTime = reply.StartTime
+	h.host.SetClock(reply.Clock, now)
+	h.host.Token = token
+	h.unackedOutcomes = len(reply.Ended) > 0
+	found := p.adopt(h, reply, now)
 	p.match(now, &fx)
 	p.mu.Unlock()
 	p.counter(metric.PoolWorkersAcquired).Inc(1)
-	p.o.Logger.Info("worker acquired", "worker", t.address.Worker, "token", token, "running", len(reply.Running),
+	p.o.Logger.Info("worker acquired", "worker", h.address.Worker, "token", token, "running", len(reply.Running),
 		"ended", len(reply.Ended))
 	p.apply(fx)
 	p.o.Takeover(contract.Takeover{
-		Worker: t.address.Worker, StartTime: reply.StartTime, Token: token, Runs: found,
+		Worker: h.address.Worker, StartTime: reply.StartTime, Token: token, Runs: found,
 	})
 	return true
 }
 
 // adopt registers the runs found on a worker, for their homes to claim. p.mu is held.
-func (p *Pool) adopt(t *ownedHost, reply link.PollReply, now time.Time) []contract.RunKey {
+func (p *Pool) adopt(h *ownedHost, reply link.PollReply, now time.Time) []contract.RunKey {
 	var found []contract.RunKey
 	for _, running := range reply.Running {
 		found = append(found, running.Key)
-		if r, ok := p.runs[running.Key]; ok && r.host == t {
-			r.token = t.host.Token
+		if r, ok := p.runs[running.Key]; ok && r.host == h {
+			r.token = h.host.Token
 			continue
 		}
 		delete(p.barredRuns, running.Key)
 		r := &run{
-			order: contract.TaskOrder{Key: running.Key, Need: p.typicalSize}, state: runRunning, host: t,
-			mayHaveRun: true, token: t.host.Token,
+			order: contract.TaskOrder{Key: running.Key, Need: p.typicalSize}, state: runRunning, host: h,
+			mayHaveRun: true, token: h.host.Token,
 			queuedAt: now, startedAt: now, progress: running.Progress, progressAt: now,
 		}
-		t.host.Reserve(r.order.Need)
-		t.runs[running.Key] = r
+		h.host.Reserve(r.order.Need)
+		h.runs[running.Key] = r
 		p.runs[running.Key] = r
-		t.host.ExtendLease(p.o.Lease, now)
+		h.host.ExtendLease(p.o.Lease, now)
 	}
 	for _, e := range reply.Ended {
 		found = append(found, e.Key)
-		t.host.LastOutcome = max(t.host.LastOutcome, e.Number)
+		h.host.LastOutcome = max(h.host.LastOutcome, e.Number)
 		if _, ok := p.runs[e.Key]; ok {
 			continue
 		}
 		p.runs[e.Key] = &run{
 			order: contract.TaskOrder{Key: e.Key}, state: runFinal, endedAt: now,
-			outcome: contract.RunReport{Key: e.Key, State: e.State, Worker: t.address.Worker, MayHaveStarted: true},
+			outcome: contract.RunReport{Key: e.Key, State: e.State, Worker: h.address.Worker, MayHaveStarted: true},
 		}
 	}
 	return found
 }
 
-// loseOwnership records that another VM has acquired a worker. That VM reports its runs from now on. p.mu is held.
-func (p *Pool) loseOwnership(t *ownedHost, now time.Time, fx *effects) {
-	if t.host.Token == 0 {
+// loseOwnership records that another VM has acquired a worker. That VM reports its runs from now on. A run with a start
+// call in progress is left to the result of that call. p.mu is held.
+func (p *Pool) loseOwnership(h *ownedHost, now time.Time, fx *effects) {
+	if h.host.Token == 0 {
 		return
 	}
-	p.o.Logger.Warn("lost ownership of worker to another VM", "worker", t.address.Worker, "token", t.host.Token,
-		"runs", len(t.runs))
+	p.o.Logger.Warn("lost ownership of worker to another VM", "worker", h.address.Worker, "token", h.host.Token,
+		"runs", len(h.runs))
 	p.counter(metric.PoolWorkersLost).Inc(1)
-	t.host.Token = 0
-	t.ownershipLostAt = now
-	for _, r := range t.runs {
+	h.host.Token = 0
+	h.ownershipLostAt = now
+	for _, r := range h.runs {
 		if r.state != runStarting {
 			p.forget(r, fx)
 		}
@@ -293,7 +294,7 @@
 }
 
 // handlePollReply processes the reply to a poll. It reports whether the poll succeeded.
-func (p *Pool) handlePollReply(t *ownedHost, sent time.Time, reply link.PollReply, err error) bool {
+func (p *Pool) handlePollReply(h *ownedHost, sent time.Time, reply link.PollReply, err error) bool {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -301,78 +302,78 @@
 		p.mu.Unlock()
 		p.apply(fx)
 	}()
-	if t.dropped {
+	if h.dropped {
 		return false
 	}
 	if err != nil {
-		p.o.Calls.CloseIdleConnections(t.address)
-		t.host.MarkSuspectUntil(now.Add(suspectTime))
-		if t.pollFailed {
-			t.host.Suspend(now)
+		p.o.Calls.CloseIdleConnections(h.address)
+		h.host.MarkSuspectUntil(now.Add(suspectTime))
+		if h.pollFailed {
+			h.host.Suspend(now)
 		}
-		t.pollFailed = true
-		p.o.Logger.Warn("worker did not answer a poll", "worker", t.address.Worker, "runs", len(t.runs), "error", err)
+		h.pollFailed = true
+		p.o.Logger.Warn("worker did not answer a poll", "worker", h.address.Worker, "runs", len(h.runs), "error", err)
 		return false
 	}
-	t.pollFailed = false
+	h.pollFailed = false
 	if reply.OtherIncarnation {
-		p.handleOtherWorker(t, now, &fx)
+		p.handleOtherWorker(h, now, &fx)
 		return false
 	}
-	if reply.StartTime != 0 && reply.StartTime != t.startTime {
-		p.handleRestart(t, reply, now)
+	if reply.StartTime != 0 && reply.StartTime != h.startTime {
+		p.handleRestart(h, reply, now)
 	}
-	t.host.SetClock(reply.Clock, now)
+	h.host.SetClock(reply.Clock, now)
 	if reply.Fenced {
-		p.loseOwnership(t, now, &fx)
+		p.loseOwnership(h, now, &fx)
 		return false
 	}
-	p.recordOutcomes(t, reply, now, &fx)
-	p.reconcileRuns(t, reply, sent, now, &fx)
+	p.recordOutcomes(h, reply, now, &fx)
+	p.reconcileRuns(h, reply, sent, now, &fx)
 	p.match(now, &fx)
 	return true
 }
 
 // handleRestart records that a worker has been restarted. The lists in its reply show which runs belong to the new
 // incarnation; the others have ended. p.mu is held.
-func (p *Pool) handleRestart(t *ownedHost, reply link.PollReply, now time.Time) {
-	p.o.Logger.Warn("worker has been restarted", "worker", t.address.Worker, "born", reply.StartTime,
-		"last_born", t.startTime, "runs", len(t.runs), "running", len(reply.Running))
-	t.startTime = reply.StartTime
-	t.host.Restarted(reply.Clock, now, p.o.Lease)
+func (p *Pool) handleRestart(h *ownedHost, reply link.PollReply, now time.Time) {
+	p.o.Logger.Warn("worker has been restarted", "worker", h.address.Worker, "born", reply.StartTime,
+		"last_born", h.startTime, "runs", len(h.runs), "running", len(reply.Running))
+	h.startTime = reply.StartTime
+	h.host.Restarted(reply.Clock, now, p.o.Lease)
 }
 
-// handleOtherWorker records that another worker answers at the address: no earlier run of this worker is alive. p.mu
-// is held.
-func (p *Pool) handleOtherWorker(t *ownedHost, now time.Time, fx *effects) {
-	p.o.Logger.Warn("another worker answers at this address", "worker", t.address.Worker, "address", t.address.Address,
-		"runs", len(t.runs))
-	for _, r := range t.runs {
+// handleOtherWorker records that another worker answers at the address: no earlier run of this worker is alive. A run
+// with a start call in progress is left to the result of that call. p.mu is held.
+func (p *Pool) handleOtherWorker(h *ownedHost, now time.Time, fx *effects) {
+	p.o.Logger.Warn("another worker answers at this address; the runs of the owned worker have ended",
+		"worker", h.address.Worker, "address", h.address.Address, "runs", len(h.runs))
+	for _, r := range h.runs {
 		if r.state != runStarting {
 			p.finish(r, contract.RunEnded, 0, fx)
 		}
 	}
-	t.host.Token = 0
-	t.host.Suspend(now)
+	h.host.Token = 0
+	h.host.Suspend(now)
 }
 
 // recordOutcomes records the outcomes of runs. p.mu is held.
-func (p *Pool) recordOutcomes(t *ownedHost, reply link.PollReply, now time.Time, fx *effects) {
-	t.unackedOutcomes = len(reply.Ended) > 0
+func (p *Pool) recordOutcomes(h *ownedHost, reply link.PollReply, now time.Time, fx *effects) {
+	h.unackedOutcomes = len(reply.Ended) > 0
 	for _, e := range reply.Ended {
-		t.host.LastOutcome = max(t.host.LastOutcome, e.Number)
-		r, ok := t.runs[e.Key]
+		h.host.LastOutcome = max(h.host.LastOutcome, e.Number)
+		r, ok := h.runs[e.Key]
 		if !ok {
 			continue
 		}
 		took := now.Sub(r.startedAt)
 		switch e.State {
 		case contract.RunDone:
-			t.host.Succeeded(took, r.order.Expected)
-			p.learnSpeed(t.host)
+			h.host.Succeeded(took, r.order.Expected)
+			p.learnSpeed(h.host)
 		case contract.RunFailed:
-			if t.host.Failed(now) {
-				p.o.Logger.Warn("worker suspended after repeated run failures", "worker", t.address.Worker)
+			if h.host.Failed(now) {
+				p.o.Logger.Warn("worker suspended after repeated run failures", "worker", h.address.Worker)
 			}
 		}
 		p.finish(r, e.State, took, fx)
@@ -396,20 +397,20 @@
 const kindSpeedWeight = 0.05
 
 // reconcileRuns compares the worker's list of runs with the pool's. p.mu is held.
-func (p *Pool) reconcileRuns(t *ownedHost, reply link.PollReply, sent, now time.Time, fx *effects) {
+func (p *Pool) reconcileRuns(h *ownedHost, reply link.PollReply, sent, now time.Time, fx *effects) {
 	listed := make(map[contract.RunKey]int, len(reply.Running))
 	for _, running := range reply.Running {
 		listed[running.Key] = running.Progress
-		if _, ok := t.runs[running.Key]; !ok {
-			p.stopUnordered(t, running.Key, now)
+		if _, ok := h.runs[running.Key]; !ok {
+			p.stopUnordered(h, running.Key, now)
 		}
 	}
-	for key, r := range t.runs {
+	for key, r := range h.runs {
 		progress, ok := listed[key]
 		switch {
 		case ok:
 			p.recordProgress(r, progress, now, fx)
-		case r.state == runRunning && r.startedAt.Before(sent) && !r.answeredAt.After(sent):
+		case r.state == runRunning && r.startedAt.Before(sent) && !r.confirmedAt.After(sent):
 			// The run was confirmed before the poll was sent, and the reply lists neither the run nor its outcome.
 			p.finish(r, contract.RunEnded, 0, fx)
 		}
@@ -420,7 +421,7 @@
 func (p *Pool) recordProgress(r *run, progress int, now time.Time, fx *effects) {
 	if r.state == runInDoubt && !r.cancelled {
 		// Replies to polls that were sent before this reply arrived prove nothing about the run.
-		r.state, r.answeredAt = runRunning, now
+		r.state, r.confirmedAt = runRunning, now
 		fx.report(r)
 	}
 	if progress != r.progress {
@@ -439,13 +440,13 @@
 }
 
 // stopUnordered stops a run that this VM has not ordered: a start that was executed late. p.mu is held.
-func (p *Pool) stopUnordered(t *ownedHost, key contract.RunKey, now time.Time) {
-	r := &run{order: contract.TaskOrder{Key: key, Need: p.typicalSize}, state: runRunning, host: t,
+func (p *Pool) stopUnordered(h *ownedHost, key contract.RunKey, now time.Time) {
+	r := &run{order: contract.TaskOrder{Key: key, Need: p.typicalSize}, state: runRunning, host: h,
 		cancelled: true, queuedAt: now, startedAt: now, progressAt: now}
-	t.host.Reserve(r.order.Need)
-	t.runs[key] = r
+	h.host.Reserve(r.order.Need)
+	h.runs[key] = r
 	p.runs[key] = r
 	p.o.Logger.Warn("worker runs a task that was not ordered; stopping it", "task", key.String(),
-		"worker", t.address.Worker)
+		"worker", h.address.Worker)
 	p.spawn(func() { p.stop(r) })
 }
--- a/pool/match.go
+++ b/pool/match.go
@@ -25,19 +25,19 @@
 		return
 	}
 	var reserved *ownedHost
-	for _, t := range p.hostsWithCapacity(now) {
-		p.waiting.sort(now, t.host.Speed())
+	for _, h := range p.hostsWithCapacity(now) {
+		p.waiting.sort(now, h.host.Speed())
 		if reserved == nil {
 			reserved = p.reserve(now)
 		}
-		for i := 0; i < len(p.waiting.runs) && t.host.Usable(now); {
+		for i := 0; i < len(p.waiting.runs) && h.host.Usable(now); {
 			r := p.waiting.runs[i]
-			if (t == reserved && i > 0) || !p.canStart(t, r, now) {
+			if (h == reserved && i > 0) || !p.canStart(h, r, now) {
 				i++
 				continue
 			}
 			p.waiting.remove(r)
-			p.assign(r, t, now, fx)
+			p.assign(r, h, now, fx)
 		}
 	}
 }
@@ -46,10 +46,10 @@
 // fullest.
 func (p *Pool) hostsWithCapacity(now time.Time) []*ownedHost {
 	var hosts []*ownedHost
-	for _, t := range p.hosts {
-		if t.host.CanStart(machine.Resources{}, now) && t.host.Free().CPUMillis > 0 &&
-			t.leaseLimit(now, p.o.Lease).Sub(now) >= minStartLease {
-			hosts = append(hosts, t)
+	for _, h := range p.hosts {
+		if h.host.CanStart(machine.Resources{}, now) && h.host.Free().CPUMillis > 0 &&
+			h.leaseLimit(now, p.o.Lease).Sub(now) >= minStartLease {
+			hosts = append(hosts, h)
 		}
 	}
 	slices.SortFunc(hosts, func(a, b *ownedHost) int {
@@ -63,28 +63,28 @@
 
 // canStart reports whether a task may start on a worker now. A task whose data is in a rack of this pool waits for
 // that rack for at most its expected run time.
-func (p *Pool) canStart(t *ownedHost, r *run, now time.Time) bool {
+func (p *Pool) canStart(h *ownedHost, r *run, now time.Time) bool {
 	o := r.order
 	if now.Sub(r.refreshedAt) > refreshTimeout {
 		// The home already treats the run as lost; the next sweep ends it.
 		return false
 	}
-	if !t.host.CanStart(o.Need, now) || !t.host.Listing.CanHold(o.Need, o.RequiredLabel) {
+	if !h.host.CanStart(o.Need, now) || !h.host.Listing.CanHold(o.Need, o.RequiredLabel) {
 		return false
 	}
-	if o.PerWorkerLimit > 0 && t.runsOfStep(o.Key) >= o.PerWorkerLimit {
+	if o.PerWorkerLimit > 0 && h.runsOfStep(o.Key) >= o.PerWorkerLimit {
 		return false
 	}
-	if o.PreferredRack == "" || t.host.Listing.HasLabel(o.PreferredRack) || now.Sub(r.queuedAt) > o.Expected {
+	if o.PreferredRack == "" || h.host.Listing.HasLabel(o.PreferredRack) || now.Sub(r.queuedAt) > o.Expected {
 		return true
 	}
 	return !p.hasRack(o.PreferredRack, now)
 }
 
 // runsOfStep returns the number of runs of a step on the worker.
-func (t *ownedHost) runsOfStep(key contract.RunKey) int {
+func (h *ownedHost) runsOfStep(key contract.RunKey) int {
 	n := 0
-	for k := range t.runs {
+	for k := range h.runs {
 		if k.InStep(key) {
 			n++
 		}
@@ -94,15 +94,15 @@
 
 // hasRack reports whether a usable worker of the pool is in a rack.
 func (p *Pool) hasRack(rack string, now time.Time) bool {
-	for _, t := range p.hosts {
-		if t.host.Usable(now) && t.host.Listing.HasLabel(rack) {
+	for _, h := range p.hosts {
+		if h.host.Usable(now) && h.host.Listing.HasLabel(rack) {
 			return true
 		}
 	}
 	return false
 }
 
-// reserve returns the worker that is kept free for the most urgent task, if that has waited longer than reserveDelay.
+// reserve returns the worker that is kept free for the most urgent task, if that task has waited for reserveDelay.
 func (p *Pool) reserve(now time.Time) *ownedHost {
 	if len(p.waiting.runs) == 0 || now.Sub(p.waiting.runs[0].queuedAt) < reserveDelay {
 		return nil
@@ -110,7 +110,8 @@
 	return p.largestFree(p.waiting.runs[0].order)
 }
 
-// speedStep is the width of a speed class; workers of the same class are treated as equally fast.
+// speedStep is the width of a speed class, relative to the mean speed of the back end. Workers of the same class are
+// treated as equally fast.
 const speedStep = 0.15
 
 // preferred orders workers for a task: the faster first, and among equally fast ones the one with less free capacity.
@@ -128,29 +129,29 @@
 // capacity for it.
 func (p *Pool) largestFree(o contract.TaskOrder) *ownedHost {
 	var best *ownedHost
-	for _, t := range p.hosts {
-		if t.host.Token == 0 || t.host.Listing.Draining || !t.host.Listing.CanHold(o.Need, o.RequiredLabel) {
+	for _, h := range p.hosts {
+		if h.host.Token == 0 || h.host.Listing.Draining || !h.host.Listing.CanHold(o.Need, o.RequiredLabel) {
 			continue
 		}
-		if best == nil || t.host.Free().CPUMillis > best.host.Free().CPUMillis {
-			best = t
+		if best == nil || h.host.Free().CPUMillis > best.host.Free().CPUMillis {
+			best = h
 		}
 	}
 	return best
 }
 
 // assign reserves capacity for a run and adds its start call to fx. p.mu is held.
-func (p *Pool) assign(r *run, t *ownedHost, now time.Time, fx *effects) {
-	t.host.Reserve(r.order.Need)
-	t.runs[r.order.Key] = r
-	r.host, r.state, r.startedAt, r.mayHaveRun = t, runStarting, now, true
-	r.progress, r.progressAt, r.token = 0, now, t.host.Token
+func (p *Pool) assign(r *run, h *ownedHost, now time.Time, fx *effects) {
+	h.host.Reserve(r.order.Need)
+	h.runs[r.order.Key] = r
+	r.host, r.state, r.startedAt, r.mayHaveRun = h, runStarting, now, true
+	r.progress, r.progressAt, r.token = 0, now, h.host.Token
 	p.markCommitted(r.order.Key.Batch, now)
 	fx.starts = append(fx.starts, startEffect{
-		run: r, host: t, token: t.host.Token,
-		leaseEnd: t.host.ExtendLease(t.leaseLimit(now, p.o.Lease).Sub(now), now),
+		run: r, host: h, token: h.host.Token,
+		leaseEnd: h.host.ExtendLease(h.leaseLimit(now, p.o.Lease).Sub(now), now),
 	})
-	t.wake()
+	h.wake()
 }
 
 // markCommitted marks the queued tasks of a job once one of its tasks is started. p.mu is held.
@@ -179,12 +180,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var capacity zone.BackendCapacity
-	for _, t := range p.hosts {
-		if !t.host.Usable(now) {
+	for _, h := range p.hosts {
+		if !h.host.Usable(now) {
 			continue
 		}
-		capacity.Slots += slotsIn(t.host.Listing.Capacity, p.typicalSize)
-		capacity.Free += slotsIn(t.host.Free(), p.typicalSize)
+		capacity.Slots += slotsIn(h.host.Listing.Capacity, p.typicalSize)
+		capacity.Free += slotsIn(h.host.Free(), p.typicalSize)
 	}
 	for _, r := range p.waiting.runs {
 		capacity.Waiting[min(max(r.order.Priority, 0), zone.Priorities-1)] += r.order.Expected
@@ -196,6 +197,7 @@
 
 func slotsIn(have, size machine.Resources) int {
 	if size.CPUMillis <= 0 {
+		// The typical size is unknown until the first task is ordered.
 		return 1
 	}
 	n := have.CPUMillis / size.CPUMillis
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -24,7 +24,8 @@
 	leaseAfterRefresh = 1200 * time.Millisecond
 	// minStartLease is the shortest lease with which a task is started.
 	minStartLease = 150 * time.Millisecond
-	// finalRetention is how long the outcome of a run is kept for a home that does not acknowledge it.
+	// finalRetention is how long the pool keeps the outcome of a run that its home does not acknowledge, a barred run and
+	// the time of a batch's last start.
 	finalRetention = 10 * time.Second
 	sweepInterval  = 100 * time.Millisecond
 	// claimWindow is the time for homes to claim the runs found on a worker after a change of its owner. The home of a
@@ -59,9 +60,12 @@
 	runs       map[contract.RunKey]*run
 	waiting    queue
 	barredRuns map[contract.RunKey]barredRun
-	speeds     map[string]float64
+	// speeds is the typical speed of each kind of worker, relative to the mean of the back end. The first label of a
+	// listing names the kind.
+	speeds map[string]float64
 	// lastStarts is the time at which this pool last started a task of a batch, by batch.
-	lastStarts  map[string]time.Time
+	lastStarts map[string]time.Time
+	// typicalSize is the moving average of the sizes of ordered tasks, zero until the first one is ordered.
 	typicalSize machine.Resources
 }
 
@@ -110,26 +114,26 @@
 	keep := make(map[string]bool, len(listings))
 	for _, l := range listings {
 		keep[l.Worker] = true
-		t, ok := p.hosts[l.Worker]
-		if ok && t.host.Listing.Address != l.Address {
-			p.dropHost(t, true, &fx)
+		h, ok := p.hosts[l.Worker]
+		if ok && h.host.Listing.Address != l.Address {
+			p.dropHost(h, true, &fx)
 			ok = false
 		}
 		if !ok {
 			p.addHost(l)
 			continue
 		}
-		if l.Draining && !t.host.Listing.Draining {
-			p.o.Logger.Info("worker is draining; starting no new tasks", "worker", l.Worker, "runs", t.host.Runs())
+		if l.Draining && !h.host.Listing.Draining {
+			p.o.Logger.Info("worker is draining; starting no new tasks", "worker", l.Worker, "runs", h.host.Runs())
 		}
-		if l.StartTime != t.host.Listing.StartTime {
-			t.wake()
+		if l.StartTime != h.host.Listing.StartTime {
+			h.wake()
 		}
-		t.host.Listing = l
+		h.host.Listing = l
 	}
-	for id, t := range p.hosts {
+	for id, h := range p.hosts {
 		if !keep[id] {
-			p.dropHost(t, false, &fx)
+			p.dropHost(h, false, &fx)
 		}
 	}
 	p.returnInfeasible(&fx)
@@ -150,12 +154,12 @@
 // addHost starts maintaining a worker. p.mu is held.
 func (p *Pool) addHost(l machine.Listing) {
 	ctx, cancel := context.WithCancel(p.ctx)
-	t := &ownedHost{
+	h := &ownedHost{
 		host: machine.NewHost(l, p.speedOf(l)), wakeup: make(chan struct{}, 1), cancel: cancel,
 		runs: make(map[contract.RunKey]*run), address: link.HostAddress{Worker: l.Worker, Address: l.Address},
 	}
-	p.hosts[l.Worker] = t
-	p.spawn(func() { p.maintain(ctx, t) })
+	p.hosts[l.Worker] = h
+	p.spawn(func() { p.maintain(ctx, h) })
 }
 
 // speedOf predicts the speed of a worker from others with the same first label, which names its kind. p.mu is held.
@@ -170,11 +174,11 @@
 
 // dropHost stops maintaining a worker. If it was restarted, its runs have ended; otherwise its next owner reports them
 // to their homes. p.mu is held.
-func (p *Pool) dropHost(t *ownedHost, restarted bool, fx *effects) {
-	t.cancel()
-	t.dropped = true
-	delete(p.hosts, t.host.Listing.Worker)
-	for _, r := range t.runs {
+func (p *Pool) dropHost(h *ownedHost, restarted bool, fx *effects) {
+	h.cancel()
+	h.dropped = true
+	delete(p.hosts, h.host.Listing.Worker)
+	for _, r := range h.runs {
 		if restarted {
 			p.finish(r, contract.RunEnded, 0, fx)
 			continue
@@ -265,8 +269,8 @@
 
 // feasible reports whether a worker of the pool can ever hold the task. p.mu is held.
 func (p *Pool) feasible(o contract.TaskOrder) bool {
-	for _, t := range p.hosts {
-		if !t.host.Listing.Draining && t.host.Listing.CanHold(o.Need, o.RequiredLabel) {
+	for _, h := range p.hosts {
+		if !h.host.Listing.Draining && h.host.Listing.CanHold(o.Need, o.RequiredLabel) {
 			return true
 		}
 	}
@@ -411,7 +415,7 @@
 	}
 }
 
-// sweep ends runs that are no longer refreshed or claimed, and drops expired records.
+// sweep ends runs that were not refreshed or claimed in time, and drops expired records.
 func (p *Pool) sweep(now time.Time) {
 	var fx effects
 	p.mu.Lock()
@@ -437,28 +441,29 @@
 			p.withdraw(r, &fx)
 		}
 	}
-	for _, t := range p.hosts {
-		p.sweepHost(t, now, &fx)
+	for _, h := range p.hosts {
+		p.sweepHost(h, now, &fx)
 	}
 	p.match(now, &fx)
 	p.mu.Unlock()
 	p.apply(fx)
 }
 
-// sweepHost ends the runs of a worker that has not replied until their lease expired. p.mu is held.
-func (p *Pool) sweepHost(t *ownedHost, now time.Time, fx *effects) {
-	if len(t.runs) == 0 || now.Before(t.host.LeasesExpireBy()) {
+// sweepHost ends the runs of a worker that has not replied before their lease expired. p.mu is held.
+func (p *Pool) sweepHost(h *ownedHost, now time.Time, fx *effects) {
+	if len(h.runs) == 0 || now.Before(h.host.LeasesExpireBy()) {
 		return
 	}
-	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", t.host.Listing.Worker,
-		"runs", len(t.runs), "since_contact", now.Sub(t.host.Contacted()))
-	for _, r := range t.runs {
+	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", h.host.Listing.Worker,
+		"runs", len(h.runs), "since_contact", now.Sub(h.host.Contacted()))
+	for _, r := range h.runs {
 		if r.state == runStarting {
+			// The goroutine that makes the start call handles its result.
 			continue
 		}
 		p.finish(r, contract.RunEnded, 0, fx)
 	}
-	t.host.Suspend(now)
+	h.host.Suspend(now)
 }
 
 // Owned returns the workers that this VM has acquired and still owns.
@@ -466,8 +471,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var ids []string
-	for id, t := range p.hosts {
-		if t.host.Token != 0 {
+	for id, h := range p.hosts {
+		if h.host.Token != 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -480,8 +485,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := make(map[string]int)
-	for id, t := range p.hosts {
-		if used := t.host.Listing.Capacity.CPUMillis - t.host.Free().CPUMillis; used != 0 {
+	for id, h := range p.hosts {
+		if used := h.host.Listing.Capacity.CPUMillis - h.host.Free().CPUMillis; used != 0 {
 			held[id] = used
 		}
 	}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -87,8 +87,9 @@
 
 func (c *hostCalls) CloseIdleConnections(link.HostAddress) {}
 
-// fixture is a pool with workers. durations holds the run times of tasks, sizes their CPU need, both by job. mu guards
-// durations, sizes and reports: the workers read the first two and the pool writes the third while a test runs.
+// fixture is a pool with workers. durations holds the run times of tasks, sizes their CPU need in thousandths of a
+// core, both by job; a task with a run time of zero stalls. mu guards durations, sizes and reports: the workers read
+// the first two and the pool writes the third while a test runs.
 type fixture struct {
 	pool      *Pool
 	calls     *hostCalls
@@ -101,179 +102,179 @@
 }
 
 func newFixture(workers int) *fixture {
-	b := &fixture{
-		calls: &hostCalls{hosts: make(map[string]*standin.RunHost)}, observer: &startObserver{workers: make(map[string]string)},
-		durations: make(map[string]time.Duration),
-		sizes:     make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
+	f := &fixture{
+		calls:    &hostCalls{hosts: make(map[string]*standin.RunHost)},
+		observer: &startObserver{workers: make(map[string]string)}, durations: make(map[string]time.Duration),
+		sizes: make(map[string]int), reports: make(map[contract.RunKey]contract.RunReport),
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
 		capacity := machine.Resources{CPUMillis: 2000, MemoryMB: 1000}
 		h := standin.NewRunHost(standin.RunHostOptions{
-			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: b.observer,
+			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: f.observer,
 			Work: func(k contract.RunKey) standin.RunPlan {
-				d := b.runTime(k.Batch)
+				d := f.runTime(k.Batch)
 				return standin.RunPlan{Duration: d, Stalls: d == 0}
 			},
-			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: b.size(k.Batch)} },
+			Need: func(k contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: f.size(k.Batch)} },
 		})
-		b.calls.hosts[id] = h
-		b.list = append(b.list, machine.Listing{
+		f.calls.hosts[id] = h
+		f.list = append(f.list, machine.Listing{
 			Worker: id, Backend: "s", Address: id, StartTime: h.StartTime(), Capacity: capacity,
 		})
 	}
-	b.pool = New(Options{
-		Backend: "s", Calls: b.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
+	f.pool = New(Options{
+		Backend: "s", Calls: f.calls, Lease: time.Second, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
 		Metrics: metrics.NewRegistry(), Takeover: func(contract.Takeover) {},
 		Report: func(_ string, r contract.RunReport) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			b.reports[r.Key] = r
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.reports[r.Key] = r
 		},
 	})
-	b.pool.SetHosts(b.list)
+	f.pool.SetHosts(f.list)
 	time.Sleep(100 * time.Millisecond)
-	return b
+	return f
 }
 
-func (b *fixture) setRunTime(job string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.durations[job] = d
+func (f *fixture) setRunTime(job string, d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.durations[job] = d
 }
 
 // setDefaultRunTime sets the run time of a job that has none.
-func (b *fixture) setDefaultRunTime(job string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, ok := b.durations[job]; !ok {
-		b.durations[job] = d
+func (f *fixture) setDefaultRunTime(job string, d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, ok := f.durations[job]; !ok {
+		f.durations[job] = d
 	}
 }
 
-func (b *fixture) runTime(job string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.durations[job]
+func (f *fixture) runTime(job string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.durations[job]
 }
 
-func (b *fixture) setSize(job string, cpu int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sizes[job] = cpu
+func (f *fixture) setSize(job string, cpu int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.sizes[job] = cpu
 }
 
-func (b *fixture) size(job string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.sizes[job]
+func (f *fixture) size(job string) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.sizes[job]
 }
 
 // order orders one task of a job.
-func (b *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
-	b.setSize(job, cpu)
-	b.setDefaultRunTime(job, 100*time.Millisecond)
+func (f *fixture) order(job string, cpu, priority int, target, limit time.Duration) contract.RunKey {
+	f.setSize(job, cpu)
+	f.setDefaultRunTime(job, 100*time.Millisecond)
 	key := contract.RunKey{Batch: job, Run: 1}
 	now := time.Now()
-	b.pool.Order(testHome, contract.TaskOrder{
+	f.pool.Order(testHome, contract.TaskOrder{
 		Key: key, Backend: "s", Need: machine.Resources{CPUMillis: cpu}, Priority: priority, Accepted: now,
 		Target: now.Add(target), Deadline: now.Add(limit), Expected: 100 * time.Millisecond,
 	}, now)
 	return key
 }
 
-func (b *fixture) state(k contract.RunKey) contract.RunState {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.reports[k].State
+func (f *fixture) state(k contract.RunKey) contract.RunState {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.reports[k].State
 }
 
 // Guards against urgent tasks queued behind less urgent ones, and against late tasks that take capacity from tasks
 // that can still meet their target. One worker gets more tasks than it can run at once.
 func TestOrderOfWaitingTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.order("first", 2000, 0, time.Second, 5*time.Second)
-		b.order("late", 2000, 0, 50*time.Millisecond, 5*time.Second)
-		b.order("low", 2000, 2, 4*time.Second, 5*time.Second)
-		b.order("high", 2000, 0, 4*time.Second, 5*time.Second)
-		b.order("soon", 2000, 0, 3*time.Second, 5*time.Second)
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.order("first", 2000, 0, time.Second, 5*time.Second)
+		f.order("late", 2000, 0, 50*time.Millisecond, 5*time.Second)
+		f.order("low", 2000, 2, 4*time.Second, 5*time.Second)
+		f.order("high", 2000, 0, 4*time.Second, 5*time.Second)
+		f.order("soon", 2000, 0, 3*time.Second, 5*time.Second)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, b.observer.startedJobs())
+		require.Equal(t, []string{"first", "soon", "high", "low", "late"}, f.observer.startedJobs())
 	})
 }
 
 // Guards against large tasks that never start because small ones fill each gap.
 func TestLargeTaskIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
+		f := newFixture(1)
+		defer f.pool.Close()
 		for i := range 40 {
-			b.order(fmt.Sprintf("small-%d", i), 1000, 1, 20*time.Second, 30*time.Second)
+			f.order(fmt.Sprintf("small-%d", i), 1000, 1, 20*time.Second, 30*time.Second)
 			if i == 2 {
-				b.order("large", 2000, 1, 10*time.Second, 30*time.Second)
+				f.order("large", 2000, 1, 10*time.Second, 30*time.Second)
 			}
 			if i > 2 {
 				time.Sleep(45 * time.Millisecond)
 			}
 		}
-		require.Contains(t, b.observer.startedJobs(), "large")
+		require.Contains(t, f.observer.startedJobs(), "large")
 	})
 }
 
 // Guards against a stalled run that occupies its worker and delays its job for as long as its home refreshes it.
 func TestStalledRunIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.setRunTime("stalls", 0)
-		key := b.order("stalls", 1000, 0, time.Second, 5*time.Second)
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.setRunTime("stalls", 0)
+		key := f.order("stalls", 1000, 0, time.Second, 5*time.Second)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
-			b.pool.Refresh(testHome, []contract.RunKey{key}, time.Now())
+			f.pool.Refresh(testHome, []contract.RunKey{key}, time.Now())
 		}
-		require.Equal(t, contract.RunEnded, b.state(key))
+		require.Equal(t, contract.RunEnded, f.state(key))
 	})
 }
 
 // Guards against new tasks on a draining worker, and against tasks queued for workers that cannot run them.
 func TestDrainingWorkerGetsNoTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(2)
-		defer b.pool.Close()
-		b.list[0].Draining = true
-		b.pool.SetHosts(b.list)
+		f := newFixture(2)
+		defer f.pool.Close()
+		f.list[0].Draining = true
+		f.pool.SetHosts(f.list)
 		for i := range 6 {
-			b.order(fmt.Sprintf("job-%d", i), 1000, 0, time.Second, 5*time.Second)
+			f.order(fmt.Sprintf("job-%d", i), 1000, 0, time.Second, 5*time.Second)
 		}
 		time.Sleep(600 * time.Millisecond)
-		workers := b.observer.workerOfJob()
+		workers := f.observer.workerOfJob()
 		require.Len(t, workers, 6)
 		for job, worker := range workers {
 			require.Equal(t, "w1", worker, job)
 		}
-		b.list[1].Draining = true
-		b.pool.SetHosts(b.list)
-		require.Equal(t, contract.RunInfeasible, b.state(b.order("none", 1000, 0, time.Second, 5*time.Second)))
+		f.list[1].Draining = true
+		f.pool.SetHosts(f.list)
+		require.Equal(t, contract.RunInfeasible, f.state(f.order("none", 1000, 0, time.Second, 5*time.Second)))
 	})
 }
 
 // Guards against runs that continue after their home is unreachable or no longer refreshes them.
 func TestRunsStopWithoutTheirHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.setRunTime("gone", 10*time.Second)
-		b.setRunTime("silent", 10*time.Second)
-		gone := b.order("gone", 1000, 0, time.Second, 20*time.Second)
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.setRunTime("gone", 10*time.Second)
+		f.setRunTime("silent", 10*time.Second)
+		gone := f.order("gone", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		b.pool.HomeUnreachable(testHome)
+		f.pool.HomeUnreachable(testHome)
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, contract.RunEnded, b.state(gone))
-		silent := b.order("silent", 1000, 0, time.Second, 20*time.Second)
+		require.Equal(t, contract.RunEnded, f.state(gone))
+		silent := f.order("silent", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(1100 * time.Millisecond)
-		require.Equal(t, contract.RunEnded, b.state(silent))
+		require.Equal(t, contract.RunEnded, f.state(silent))
 	})
 }
 
@@ -281,23 +282,23 @@
 // delivered after a later poll has listed the run.
 func TestDelayedPollReplyEndsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.calls.delayPolls.Store(true)
-		b.setRunTime("a", 5*time.Second)
-		b.calls.hosts["w0"].SetLosingAnswers(true)
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.calls.delayPolls.Store(true)
+		f.setRunTime("a", 5*time.Second)
+		f.calls.hosts["w0"].SetLosingAnswers(true)
 		start := time.Now()
-		key := b.order("a", 1000, 0, time.Second, 20*time.Second)
+		key := f.order("a", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(20 * time.Millisecond)
-		require.Equal(t, contract.RunStarted, b.state(key))
-		b.pool.mu.Lock()
-		host := b.pool.hosts["w0"]
-		b.pool.mu.Unlock()
+		require.Equal(t, contract.RunStarted, f.state(key))
+		f.pool.mu.Lock()
+		host := f.pool.hosts["w0"]
+		f.pool.mu.Unlock()
 		early := link.PollReply{HostReply: link.HostReply{
-			Clock: host.host.ClockAt(time.Now()), StartTime: b.list[0].StartTime,
+			Clock: host.host.ClockAt(time.Now()), StartTime: f.list[0].StartTime,
 		}}
-		b.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
-		require.Equal(t, contract.RunStarted, b.state(key))
+		f.pool.handlePollReply(host, start.Add(time.Millisecond), early, nil)
+		require.Equal(t, contract.RunStarted, f.state(key))
 	})
 }
 
@@ -305,20 +306,20 @@
 // run's stop call does not reach the worker, while another run keeps the lease of the worker alive.
 func TestRunOfLostHomeExpiresBeforeResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.setRunTime("lost", 5*time.Second)
-		b.setRunTime("kept", 5*time.Second)
-		lost := b.order("lost", 500, 0, time.Second, 10*time.Second)
-		kept := b.order("kept", 500, 0, time.Second, 10*time.Second)
-		b.calls.dropStops = true
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.setRunTime("lost", 5*time.Second)
+		f.setRunTime("kept", 5*time.Second)
+		lost := f.order("lost", 500, 0, time.Second, 10*time.Second)
+		kept := f.order("kept", 500, 0, time.Second, 10*time.Second)
+		f.calls.dropStops = true
 		for died := time.Now(); time.Since(died) < 1300*time.Millisecond; time.Sleep(100 * time.Millisecond) {
-			b.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
+			f.pool.Refresh(testHome, []contract.RunKey{kept}, time.Now())
 		}
-		reply, err := b.calls.hosts["w0"].Poll(context.Background(), link.HostPoll{Token: 1 << 62})
+		reply, err := f.calls.hosts["w0"].Poll(context.Background(), link.HostPoll{Token: 1 << 62})
 		require.NoError(t, err)
 		for _, r := range reply.Running {
-			require.NotEqual(t, lost, r.Key)
+			require.NotEqual(t, lost, r.Key, "the run of the lost home is still alive")
 		}
 	})
 }
@@ -327,20 +328,20 @@
 // its replies: the task would be started a second time.
 func TestListingOfOtherIncarnationEndsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		b.calls.hosts["w0"].Crash()
+		f := newFixture(1)
+		defer f.pool.Close()
+		f.calls.hosts["w0"].Crash()
 		time.Sleep(time.Second)
-		b.calls.hosts["w0"].Restart()
+		f.calls.hosts["w0"].Restart()
 		time.Sleep(time.Second)
-		b.setRunTime("a", 800*time.Millisecond)
-		key := b.order("a", 500, 0, time.Second, 10*time.Second)
+		f.setRunTime("a", 800*time.Millisecond)
+		key := f.order("a", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, contract.RunStarted, b.state(key))
-		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
-		b.pool.SetHosts(b.list)
+		require.Equal(t, contract.RunStarted, f.state(key))
+		f.list[0].StartTime = f.calls.hosts["w0"].StartTime()
+		f.pool.SetHosts(f.list)
 		time.Sleep(300 * time.Millisecond)
-		require.Equal(t, contract.RunStarted, b.state(key))
+		require.Equal(t, contract.RunStarted, f.state(key))
 	})
 }
 
@@ -348,20 +349,20 @@
 // has reached it, and later owners had lower tokens because these counted from its new clock.
 func TestTokenOfPreviousIncarnationDoesNotBlockOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		b.pool.Close()
+		f := newFixture(1)
+		f.pool.Close()
 		time.Sleep(time.Minute)
-		last := New(b.pool.o)
-		last.SetHosts(b.list)
+		last := New(f.pool.o)
+		last.SetHosts(f.list)
 		time.Sleep(time.Second)
-		b.calls.hosts["w0"].Crash()
-		b.calls.hosts["w0"].Restart()
+		f.calls.hosts["w0"].Crash()
+		f.calls.hosts["w0"].Restart()
 		time.Sleep(2 * time.Second)
 		last.Close()
-		b.list[0].StartTime = b.calls.hosts["w0"].StartTime()
-		next := New(b.pool.o)
+		f.list[0].StartTime = f.calls.hosts["w0"].StartTime()
+		next := New(f.pool.o)
 		defer next.Close()
-		next.SetHosts(b.list)
+		next.SetHosts(f.list)
 		time.Sleep(2 * time.Second)
 		require.Equal(t, []string{"w0"}, next.Owned())
 	})
@@ -372,11 +373,11 @@
 func TestNextOwnerAcquiresWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Hour)
-		b := newFixture(1)
-		b.pool.Close()
-		next := New(b.pool.o)
+		f := newFixture(1)
+		f.pool.Close()
+		next := New(f.pool.o)
 		defer next.Close()
-		next.SetHosts(b.list)
+		next.SetHosts(f.list)
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"w0"}, next.Owned())
 	})
@@ -385,21 +386,21 @@
 // Guards against exceeding the limit of tasks of a step per worker, and against a limit that affects other jobs.
 func TestLimitOfTasksPerWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(2)
-		defer b.pool.Close()
-		b.setSize("spread", 500)
-		b.setRunTime("spread", time.Second)
+		f := newFixture(2)
+		defer f.pool.Close()
+		f.setSize("spread", 500)
+		f.setRunTime("spread", time.Second)
 		now := time.Now()
 		for i := range 4 {
-			b.pool.Order(testHome, contract.TaskOrder{
+			f.pool.Order(testHome, contract.TaskOrder{
 				Key: contract.RunKey{Batch: "spread", Index: i, Run: 1}, Backend: "s", Need: machine.Resources{CPUMillis: 500},
 				Accepted: now, Target: now.Add(time.Second), Deadline: now.Add(10 * time.Second), Expected: time.Second,
 				PerWorkerLimit: 1,
 			}, now)
 		}
-		b.order("other", 500, 0, time.Second, 10*time.Second)
+		f.order("other", 500, 0, time.Second, 10*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		require.ElementsMatch(t, []string{"spread", "spread", "other"}, b.observer.startedJobs())
+		require.ElementsMatch(t, []string{"spread", "spread", "other"}, f.observer.startedJobs())
 	})
 }
 
@@ -408,25 +409,26 @@
 func TestStartedJobsAreCompletedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, tasks = 60, 3
-		b := newFixture(1)
-		defer b.pool.Close()
+		f := newFixture(1)
+		defer f.pool.Close()
 		for i := range jobs {
 			job := fmt.Sprintf("job-%d", i)
-			b.setSize(job, 1000)
-			b.setRunTime(job, 100*time.Millisecond)
+			f.setSize(job, 1000)
+			f.setRunTime(job, 100*time.Millisecond)
 			now := time.Now()
 			var keys []contract.RunKey
 			for n := range tasks {
 				key := contract.RunKey{Batch: job, Index: n, Run: 1}
 				keys = append(keys, key)
-				b.pool.Order(testHome, contract.TaskOrder{
-					Key: key, Backend: "s", Need: machine.Resources{CPUMillis: 1000}, Accepted: now, Target: now.Add(220 * time.Millisecond),
-					Deadline: now.Add(1500 * time.Millisecond), Expected: 100 * time.Millisecond,
+				f.pool.Order(testHome, contract.TaskOrder{
+					Key: key, Backend: "s", Need: machine.Resources{CPUMillis: 1000}, Accepted: now,
+					Target: now.Add(220 * time.Millisecond), Deadline: now.Add(1500 * time.Millisecond),
+					Expected: 100 * time.Millisecond,
 				}, now)
 			}
 			go func() {
 				for ; time.Since(now) < 1500*time.Millisecond; time.Sleep(200 * time.Millisecond) {
-					b.pool.Refresh(testHome, keys, time.Now())
+					f.pool.Refresh(testHome, keys, time.Now())
 				}
 			}()
 			time.Sleep(100 * time.Millisecond)
@@ -436,7 +438,7 @@
 		for i := range jobs {
 			done := 0
 			for n := range tasks {
-				if b.state(contract.RunKey{Batch: fmt.Sprintf("job-%d", i), Index: n, Run: 1}) == contract.RunDone {
+				if f.state(contract.RunKey{Batch: fmt.Sprintf("job-%d", i), Index: n, Run: 1}) == contract.RunDone {
 					done++
 				}
 			}
@@ -453,16 +455,16 @@
 // meanwhile treated the home as unreachable.
 func TestOutcomesAreRetainedForUnreachableHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(1)
-		defer b.pool.Close()
-		key := b.order("a", 1000, 0, time.Second, 10*time.Second)
+		f := newFixture(1)
+		defer f.pool.Close()
+		key := f.order("a", 1000, 0, time.Second, 10*time.Second)
 		time.Sleep(300 * time.Millisecond)
-		require.Equal(t, contract.RunDone, b.state(key))
-		b.pool.HomeUnreachable(testHome)
-		b.mu.Lock()
-		clear(b.reports)
-		b.mu.Unlock()
-		b.pool.Withdraw(testHome, []contract.RunKey{key})
-		require.Equal(t, contract.RunDone, b.state(key))
+		require.Equal(t, contract.RunDone, f.state(key))
+		f.pool.HomeUnreachable(testHome)
+		f.mu.Lock()
+		clear(f.reports)
+		f.mu.Unlock()
+		f.pool.Withdraw(testHome, []contract.RunKey{key})
+		require.Equal(t, contract.RunDone, f.state(key))
 	})
 }
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -42,10 +42,12 @@
 type lateness uint8
 
 const (
+	// onTime runs include late runs of jobs of which another task has been started.
 	onTime lateness = iota
 	late
 	// veryLate answers come after three times the latency target.
 	veryLate
+	// tooLate runs cannot end before their deadline.
 	tooLate
 )
 
--- a/pool/run.go
+++ b/pool/run.go
@@ -42,12 +42,16 @@
 	queuedAt    time.Time
 	refreshedAt time.Time
 	token       uint64
-	startedAt   time.Time
-	answeredAt  time.Time
-	progress    int
-	progressAt  time.Time
-	endedAt     time.Time
-	outcome     contract.RunReport
+	// startedAt is when the start call was made, or when the run was found on a worker.
+	startedAt time.Time
+	// confirmedAt is when a reply of the worker last settled whether the run had started. Replies to polls that were sent
+	// earlier prove nothing about the run.
+	confirmedAt time.Time
+	// progress is a percentage, progressAt when it last changed.
+	progress   int
+	progressAt time.Time
+	endedAt    time.Time
+	outcome    contract.RunReport
 }
 
 // report is a message to a home.
--- a/pool/start.go
+++ b/pool/start.go
@@ -16,7 +16,8 @@
 	// callTimeout bounds a call that the worker answers at once; a round trip between zones takes 3 to 6 ms, and a lost
 	// packet is retransmitted after 200 ms.
 	callTimeout = 300 * time.Millisecond
-	// startTimeout bounds a start call. A start that takes longer is resolved by a poll, which is harmless.
+	// startTimeout bounds a start call. It may be short: if no reply has arrived by then, a poll determines whether the
+	// run has started.
 	startTimeout = 150 * time.Millisecond
 	// suspectTime is how long a worker gets no tasks after a call without a reply, unless it replies to the next one. A
 	// single lost reply says little about the worker: on a lossy network it happens to all workers several times a
@@ -51,17 +52,17 @@
 func (p *Pool) handleStartReply(
 	s startEffect, verdict link.StartVerdict, reply link.HostReply, err error, now time.Time, fx *effects,
 ) {
-	r, t := s.run, s.host
+	r, h := s.run, s.host
 	if err != nil {
 		p.handleStartError(s, err, now, fx)
 		return
 	}
-	t.host.SetClock(reply.Clock, now)
+	h.host.SetClock(reply.Clock, now)
 	if verdict == link.StartAccepted {
-		r.state, r.answeredAt = runRunning, now
+		r.state, r.confirmedAt = runRunning, now
 		metric.Histogram(metric.PoolQueueTime, p.o.Metrics).Update(r.startedAt.Sub(r.queuedAt).Microseconds())
 		metric.Histogram(metric.PoolCallTime, p.o.Metrics).Update(now.Sub(r.startedAt).Microseconds())
-		p.o.Logger.Info("run started", "task", r.order.Key.String(), "worker", t.host.Listing.Worker, "token", s.token,
+		p.o.Logger.Info("run started", "task", r.order.Key.String(), "worker", h.host.Listing.Worker, "token", s.token,
 			"queued_for", r.startedAt.Sub(r.queuedAt), "call_took", now.Sub(r.startedAt), "home", r.home)
 		if r.cancelled {
 			fx.stops = append(fx.stops, r)
@@ -70,7 +71,7 @@
 		fx.report(r)
 		return
 	}
-	p.o.Logger.Info("worker rejected a start", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
+	p.o.Logger.Info("worker rejected a start", "task", r.order.Key.String(), "worker", h.host.Listing.Worker,
 		"verdict", verdict.String(), "token", s.token)
 	switch verdict {
 	case link.StartSuperseded:
@@ -82,25 +83,25 @@
 		p.finish(r, contract.RunFailed, 0, fx)
 		return
 	case link.StartFenced:
-		p.loseOwnership(t, now, fx)
+		p.loseOwnership(h, now, fx)
 	case link.StartNoCapacity:
-		t.host.MarkFullUntil(now.Add(capacityRetry))
-		t.wake()
+		h.host.MarkFullUntil(now.Add(capacityRetry))
+		h.wake()
 	case link.StartUnhealthy:
-		t.host.Failed(now)
+		h.host.Failed(now)
 	case link.StartOtherIncarnation:
-		t.host.Suspend(now)
+		h.host.Suspend(now)
 	}
 	p.requeue(r, fx)
 }
 
 // handleStartError processes a start call without a reply. p.mu is held.
 func (p *Pool) handleStartError(s startEffect, err error, now time.Time, fx *effects) {
-	r, t := s.run, s.host
-	p.o.Calls.CloseIdleConnections(t.address)
-	t.host.MarkSuspectUntil(now.Add(suspectTime))
+	r, h := s.run, s.host
+	p.o.Calls.CloseIdleConnections(h.address)
+	h.host.MarkSuspectUntil(now.Add(suspectTime))
 	notStarted := errorx.HasTrait(err, fault.ProvenNotStarted)
-	p.o.Logger.Warn("worker did not answer a start", "task", r.order.Key.String(), "worker", t.host.Listing.Worker,
+	p.o.Logger.Warn("worker did not answer a start", "task", r.order.Key.String(), "worker", h.host.Listing.Worker,
 		"not_sent", notStarted, "error", err)
 	if notStarted {
 		p.requeue(r, fx)
@@ -112,21 +113,21 @@
 }
 
 // resolveInDoubt determines whether a start that got no reply was executed. A run that the worker lists continues; one
-// that it does not list is stopped, which bars a start that arrives late.
+// that it does not list is stopped, so that the worker rejects a start that arrives late.
 func (p *Pool) resolveInDoubt(r *run) {
 	p.mu.Lock()
-	t := r.host
-	if r.state != runInDoubt || t == nil {
+	h := r.host
+	if r.state != runInDoubt || h == nil {
 		p.mu.Unlock()
 		return
 	}
-	poll := link.HostPoll{Token: t.host.Token, LastOutcome: t.host.LastOutcome}
+	poll := link.HostPoll{Token: h.host.Token, LastOutcome: h.host.LastOutcome}
 	p.mu.Unlock()
 	sent := p.o.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
-	reply, err := p.o.Calls.Poll(ctx, t.address, poll)
+	reply, err := p.o.Calls.Poll(ctx, h.address, poll)
 	cancel()
-	p.handlePollReply(t, sent, reply, err)
+	p.handlePollReply(h, sent, reply, err)
 	p.mu.Lock()
 	inDoubt := r.state == runInDoubt
 	p.mu.Unlock()
@@ -135,22 +136,22 @@
 	}
 }
 
-// stop ends a run at its worker, or bars it there. It retries until the worker replies, the lease expires or the run
-// has ended otherwise.
+// stop ends a run on its worker. If the run has not started there, the worker rejects a start of it that arrives later.
+// stop retries until the worker replies, the lease expires or the run has ended otherwise.
 func (p *Pool) stop(r *run) {
 	for {
 		p.mu.Lock()
-		t := r.host
-		if r.state == runFinal || t == nil {
+		h := r.host
+		if r.state == runFinal || h == nil {
 			p.mu.Unlock()
 			return
 		}
-		address, token := t.address, t.host.Token
+		address, token := h.address, h.host.Token
 		p.mu.Unlock()
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		reply, err := p.o.Calls.Stop(ctx, address, r.order.Key, token)
 		cancel()
-		if p.handleStopReply(r, t, reply, err) {
+		if p.handleStopReply(r, h, reply, err) {
 			return
 		}
 		select {
@@ -162,7 +163,7 @@
 }
 
 // handleStopReply processes the reply to a stop call. It reports whether nothing is left to do.
-func (p *Pool) handleStopReply(r *run, t *ownedHost, reply link.HostReply, err error) bool {
+func (p *Pool) handleStopReply(r *run, h *ownedHost, reply link.HostReply, err error) bool {
 	now := p.o.Now()
 	var fx effects
 	p.mu.Lock()
@@ -170,22 +171,22 @@
 		p.mu.Unlock()
 		p.apply(fx)
 	}()
-	if r.state == runFinal || r.host != t {
+	if r.state == runFinal || r.host != h {
 		return true
 	}
 	if err != nil {
-		p.o.Calls.CloseIdleConnections(t.address)
+		p.o.Calls.CloseIdleConnections(h.address)
 		return false
 	}
-	t.host.SetClock(reply.Clock, now)
+	h.host.SetClock(reply.Clock, now)
 	if reply.Fenced {
-		p.loseOwnership(t, now, &fx)
+		p.loseOwnership(h, now, &fx)
 		return true
 	}
 	// The run has ended once its outcome is listed, or once a later poll lists neither the run nor an outcome: then it
-	// never started there and is now barred.
-	r.state, r.answeredAt, r.cancelled = runRunning, now, true
-	t.wake()
+	// never started there, and the worker rejects a start that arrives late.
+	r.state, r.confirmedAt, r.cancelled = runRunning, now, true
+	h.wake()
 	p.match(now, &fx)
 	return true
 }
