--- a/batch/advance.go
+++ b/batch/advance.go
@@ -8,13 +8,14 @@
 	"github.com/cicadadale/cicadadale/metric"
 )
 
-// barredRunGap is added to the number of the next run when the previous one was barred without having run: an earlier
-// home of the job may have used higher numbers.
-const barredRunGap = 10_000
+// unstartedRunGap is added to the number of the next run when the previous one has ended without having run. The worker
+// may have rejected it because an earlier home of the job has used higher numbers.
+const unstartedRunGap = 10_000
 
 const (
 	// maxPlaceRetry bounds the pause between orders of a task that its owners report as unknown.
-	maxPlaceRetry       = 400 * time.Millisecond
+	maxPlaceRetry = 400 * time.Millisecond
+	// maxUnknownDoublings keeps the shift in unknownRetry from overflowing.
 	maxUnknownDoublings = 8
 	// unknownProofWindow is the time after an order within which an owner that does not know the run proves that it has
 	// not run. Owners keep the outcomes of runs for 10 s.
@@ -98,7 +99,7 @@
 	t.state, t.started, t.withdrawn = taskUnplaced, false, false
 	t.run++
 	if !ran {
-		t.run += barredRunGap
+		t.run += unstartedRunGap
 	}
 }
 
@@ -126,7 +127,7 @@
 	}
 }
 
-// respond sends the outcome of a job to its callers. A refusal is given only if no run has started.
+// respond sends the outcome of a job to its callers. A refusal is given only if certainly no run has started.
 func (h *Home) respond(j *job, now time.Time) {
 	if j.outcome == Refused {
 		if j.mayHaveRun {
@@ -237,8 +238,9 @@
 	}
 }
 
-// markLost records that the state of a run is unknown until its lease has expired. lastContact is when its owner was
-// last contacted: the owner dates a refresh no later than the last message that the home had received from it.
+// markLost records that the state of a run is unknown until its lease has expired. lastContact is when the home last
+// heard from the owner. The time to the expiry counts from lastContact or from the last refresh, whichever is earlier:
+// the owner dates a refresh back to the newest of its timestamps that the home had received.
 func (h *Home) markLost(t *task, lastContact time.Time) {
 	if t.state != taskPlaced {
 		return
--- a/batch/home.go
+++ b/batch/home.go
@@ -145,10 +145,10 @@
 		known = false
 	}
 	if !known {
-		var refusal *Answer
-		if j, refusal = h.accept(b, now); refusal != nil {
+		var rejection *Answer
+		if j, rejection = h.accept(b, now); rejection != nil {
 			s.mu.Unlock()
-			return *refusal
+			return *rejection
 		}
 		s.jobs[b.ID] = j
 		h.advance(j, now, out)
@@ -173,11 +173,12 @@
 	}
 }
 
-// accept creates a new job, or returns the refusal of one that cannot be served.
+// accept creates a new job, or returns the answer to one that cannot be served: it has failed if no worker can hold its
+// tasks, and is refused if it cannot end before its deadline.
 func (h *Home) accept(b contract.Batch, now time.Time) (*job, *Answer) {
 	for _, step := range b.Steps {
 		if fits, known := h.o.Fits(b.Backend, step.Need, step.RequiredLabel); known && !fits {
-			h.o.Logger.Info("job refused: no worker can hold its tasks", "job", b.ID, "route", b.Route,
+			h.o.Logger.Info("job failed: no worker can hold its tasks", "job", b.ID, "route", b.Route,
 				"cpu_millis", step.Need.CPUMillis, "memory_mb", step.Need.MemoryMB, "label", step.RequiredLabel)
 			return nil, &Answer{Outcome: Failed, Reason: "no worker can hold the tasks"}
 		}
@@ -205,25 +206,26 @@
 	return j, nil
 }
 
-// plan predicts the run times of the steps of a job. expected is the mean run time of its longest chain of steps,
-// slowest the same with the longest task of each step.
+// plan predicts the run times of the steps of a job. expected is the run time of its longest chain of steps if every
+// task takes the mean run time of its step, slowest the one if each step takes as long as its longest task.
 func (h *Home) plan(b contract.Batch) (steps []step, expected, slowest time.Duration) {
 	steps = make([]step, len(b.Steps))
-	means, ends := make([]time.Duration, len(b.Steps)), make([]time.Duration, len(b.Steps))
+	meanEnds, slowestEnds := make([]time.Duration, len(b.Steps)), make([]time.Duration, len(b.Steps))
 	for i, s := range b.Steps {
 		steps[i] = step{expected: h.kinds.expected(b.Route, s.Estimate), remaining: s.Count}
 		for _, d := range s.DependsOn {
-			means[i], ends[i] = max(means[i], means[d]), max(ends[i], ends[d])
+			meanEnds[i], slowestEnds[i] = max(meanEnds[i], meanEnds[d]), max(slowestEnds[i], slowestEnds[d])
 		}
-		means[i] += steps[i].expected
-		ends[i] += h.kinds.longest(steps[i].expected, s.Count)
-		expected, slowest = max(expected, means[i]), max(slowest, ends[i])
+		meanEnds[i] += steps[i].expected
+		slowestEnds[i] += h.kinds.longest(steps[i].expected, s.Count)
+		expected, slowest = max(expected, meanEnds[i]), max(slowest, slowestEnds[i])
 	}
 	return steps, expected, slowest
 }
 
-// runEpoch keeps run numbers short. They start from the time of day, since a job that is submitted again to another
-// home must get higher numbers than its first runs, which workers refuse to repeat.
+// runEpoch is the origin of the run numbers of a job; a recent one keeps them short. The first number is the time at
+// which the job was accepted, in milliseconds, since a job that is submitted again to another home must get higher
+// numbers than its first runs, which workers refuse to repeat.
 var runEpoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func firstRunNumber(accepted time.Time) uint64 {
--- a/batch/home_test.go
+++ b/batch/home_test.go
@@ -83,7 +83,8 @@
 	require.Equal(t, Abandoned, answer.Outcome)
 }
 
-// Guards against reporting that a job may have run although no run has started, so that it is not submitted elsewhere.
+// Guards against reporting that a job may have run although no run has started: its caller would not submit it
+// elsewhere.
 func TestUnstartedJobIsRefused(t *testing.T) {
 	answer := withOwner(t, func() contract.Batch { return testBatch(1, time.Second) }, func(h *Home, out *recorder) {
 		h.o.Capacity.Remove(testOwner)
--- a/batch/job.go
+++ b/batch/job.go
@@ -70,10 +70,11 @@
 	steps []step
 	// expected is the expected run time of the whole job on idle workers.
 	expected time.Duration
-	target   time.Time
-	tasks    []task
-	done     int
-	state    jobState
+	// target is when the answer becomes late.
+	target time.Time
+	tasks  []task
+	done   int
+	state  jobState
 	// mayHaveRun is set once a run of any task may have started.
 	mayHaveRun bool
 	outcome    Outcome
--- a/batch/kinds.go
+++ b/batch/kinds.go
@@ -7,14 +7,17 @@
 )
 
 const (
-	// runWeight is the weight of one run in the model of its kind, once minSamples runs have been recorded.
-	runWeight  = 0.01
-	minSamples = 20
+	// runWeight is the weight of one run in the model of its kind once 100 runs have been recorded. Before that, all runs
+	// weigh the same.
+	runWeight = 0.01
+	// maxSampleRatio bounds the number of recorded runs that count in a predicted slope, as a multiple of priorWeight.
+	maxSampleRatio = 20
 	// priorShare and priorSlope predict a run time from a declared estimate until runs have been recorded: declared times
 	// are mostly too long, and a job declared twice as long takes about 1.4 times as long.
 	priorShare = 0.8
 	priorSlope = 0.5
-	maxSlope   = 1.0
+	// maxSlope limits the prediction for a job declared twice as long to twice the run time.
+	maxSlope = 1.0
 	// priorWeight is the number of runs that the prior slope is worth.
 	priorWeight = 20
 	// defaultRun is the expected run time of a task without an estimate.
@@ -34,7 +37,7 @@
 	covariance float64
 }
 
-// add records one run.
+// add records one run: x is the logarithm of the declared estimate, y that of the run time.
 func (k *kind) add(x, y float64) {
 	k.samples++
 	w := max(runWeight, 1/k.samples)
@@ -45,11 +48,11 @@
 	k.covariance += w * (dx*dy*(1-w) - k.covariance)
 }
 
-// predict returns the logarithm of the expected run time of a job with a declared estimate.
+// predict returns the logarithm of the expected run time for the logarithm x of a declared estimate.
 func (k *kind) predict(x float64) float64 {
 	slope := priorSlope
 	if k.varianceX > 0 {
-		seen := min(k.samples, minSamples*priorWeight)
+		seen := min(k.samples, maxSampleRatio*priorWeight)
 		slope = (seen*k.covariance/k.varianceX + priorWeight*priorSlope) / (seen + priorWeight)
 	}
 	return k.meanY + min(max(slope, 0), maxSlope)*(x-k.meanX)
@@ -63,7 +66,8 @@
 
 func newKinds() *kinds { return &kinds{routes: make(map[string]*kind)} }
 
-// expected returns the mean run time of the tasks of a job.
+// expected returns the expected run time of a task of a job with a declared estimate, which is zero if none was
+// declared.
 func (k *kinds) expected(route string, estimate time.Duration) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -63,19 +63,19 @@
 }
 
 func (o *outbox) send(owners Owners) {
-	for place, keys := range o.acks {
-		owners.Acknowledge(place, keys)
+	for ref, keys := range o.acks {
+		owners.Acknowledge(ref, keys)
 	}
-	for place, keys := range o.withdrawals {
-		owners.Withdraw(place, keys)
+	for ref, keys := range o.withdrawals {
+		owners.Withdraw(ref, keys)
 	}
-	for place, keys := range o.recalls {
-		owners.Recall(place, keys)
+	for ref, keys := range o.recalls {
+		owners.Recall(ref, keys)
 	}
 	for _, m := range o.orders {
 		owners.Order(m.owner, m.order)
 	}
-	for place, keys := range o.refreshes {
-		owners.Refresh(place, keys)
+	for ref, keys := range o.refreshes {
+		owners.Refresh(ref, keys)
 	}
 }
--- a/batch/refusal.go
+++ b/batch/refusal.go
@@ -5,7 +5,7 @@
 const (
 	// refusalMargin is the shortest time from the expected end of an accepted job to its deadline.
 	refusalMargin = 20 * time.Millisecond
-	// refuseShare is the share of the time limit after which a job is refused that has not started and whose answer would
+	// refuseShare is the share of its time limit after which a job that has not started is refused if its answer would
 	// come when it is worth little. Its caller can use the remaining time to submit it elsewhere.
 	refuseShare = 0.35
 	// veryLateFactor is the multiple of the latency target after which an answer is worth little.
@@ -21,20 +21,20 @@
 }
 
 // meetsDeadline reports whether a job that starts after a given wait can end before its deadline.
-func (p forecast) meetsDeadline(now time.Time, wait time.Duration) bool {
-	return !now.Add(wait + p.expected + refusalMargin).After(p.deadline)
+func (f forecast) meetsDeadline(now time.Time, wait time.Duration) bool {
+	return !now.Add(wait + f.expected + refusalMargin).After(f.deadline)
 }
 
 // shouldRefuse reports whether a job that has not started should be refused. It limits the harm of demand that exceeds
 // the capacity of all workers for longer than jobs can wait: a job that queues until its deadline is refused too late
 // to be submitted elsewhere.
-func (p forecast) shouldRefuse(now time.Time) bool {
-	end := now.Add(p.expected)
-	if end.After(p.deadline) {
+func (f forecast) shouldRefuse(now time.Time) bool {
+	end := now.Add(f.expected)
+	if end.After(f.deadline) {
 		return true
 	}
-	waited := now.Sub(p.accepted)
-	limit := p.deadline.Sub(p.accepted)
-	veryLate := p.accepted.Add(veryLateFactor * p.target.Sub(p.accepted))
+	waited := now.Sub(f.accepted)
+	limit := f.deadline.Sub(f.accepted)
+	veryLate := f.accepted.Add(veryLateFactor * f.target.Sub(f.accepted))
 	return float64(waited) > refuseShare*float64(limit) && end.After(veryLate)
 }
