--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -19,11 +19,13 @@
 )
 
 const (
-	chaosZones       = 3
-	chaosDaemons     = 2
-	chaosWorkers     = 5
-	chaosDuration    = 20 * time.Second
-	chaosSubmissions = 25 * time.Millisecond
+	chaosZones = 3
+	// chaosDaemons and chaosWorkers are numbers per failure domain.
+	chaosDaemons  = 2
+	chaosWorkers  = 5
+	chaosDuration = 20 * time.Second
+	// chaosSubmissionInterval is the mean time between submissions.
+	chaosSubmissionInterval = 25 * time.Millisecond
 	// resendDelay is the time after which a client submits a job again whose connection has broken.
 	resendDelay = 1300 * time.Millisecond
 	// chaosSeedVariable selects one seed, chaosCountVariable the number of random seeds.
@@ -89,7 +91,7 @@
 			time.Duration(1200+requests.IntN(4000))*time.Millisecond
 		tasks, pick, leaves := 1+requests.IntN(6), requests.Uint64(), requests.IntN(12) == 0
 		clients.Go(func() { c.client(id, zone, tasks, limit, pick, leaves) })
-		time.Sleep(time.Duration(1+requests.IntN(2*int(chaosSubmissions/time.Millisecond))) * time.Millisecond)
+		time.Sleep(time.Duration(1+requests.IntN(2*int(chaosSubmissionInterval/time.Millisecond))) * time.Millisecond)
 	}
 	clients.Wait()
 	time.Sleep(3 * time.Second)
@@ -126,10 +128,11 @@
 	require.Equal(t, chaosZones*chaosWorkers, owned, "workers with an owner")
 }
 
-// client submits a job, and submits it again after a broken connection or an answer without a definite outcome.
+// client submits a job, and submits it again after a broken connection or an answer without a definite outcome. If
+// leaves is set, it disconnects after a third of the time limit.
 func (c *chaos) client(id string, zone, tasks int, limit time.Duration, pick uint64, leaves bool) {
 	deadline := time.Now().Add(limit)
-	rejections, attempts := 0, 0
+	refusals, attempts := 0, 0
 	for ; time.Now().Before(deadline); attempts++ {
 		daemon := c.choose(zone, pick+uint64(attempts))
 		if daemon == nil {
@@ -145,14 +148,15 @@
 		cancel()
 		switch answer.Outcome {
 		case batch.Refused:
-			rejections++
+			refusals++
 		case batch.Abandoned:
 			time.Sleep(resendDelay)
 			continue
 		}
 		break
 	}
-	if attempts >= 0 && rejections > 0 && attempts+1 == rejections {
+	if attempts >= 0 && refusals > 0 && attempts+1 == refusals {
+		// Every submission was refused, so no task of the job may have started or start later.
 		time.Sleep(5 * time.Second)
 		require.Zero(c.d.t, c.d.observer.startsOf(id), "starts of refused job %s", id)
 	}
@@ -188,10 +192,10 @@
 		kind, rng := kinds[c.rng.IntN(len(kinds))], rand.New(rand.NewPCG(c.rng.Uint64(), 0))
 		faults.Go(func() {
 			at := time.Since(begin)
-			what := kind(rng)
+			description := kind(rng)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.trace = append(c.trace, fmt.Sprintf("%v to %v: %s", at, time.Since(begin), what))
+			c.trace = append(c.trace, fmt.Sprintf("%v to %v: %s", at, time.Since(begin), description))
 		})
 	}
 }
--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -21,8 +21,10 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// statusInterval is the time between statuses to all members. The own failure domain, where most tasks are placed, is
-	// told of changed capacity with the next tick. With 42 members this halves the messages of a daemon.
+	// statusInterval is the shortest time between statuses to all members, and the longest between statuses to the own
+	// failure domain. Most tasks are placed there, so it is told of changed capacity earlier, at the next tick that
+	// nearStatusSpacing allows. With 42 members, sending fewer statuses to other failure domains halves the messages of
+	// a daemon.
 	statusInterval = 200 * time.Millisecond
 	// nearStatusSpacing and farStatusSpacing are the time between statuses per receiving member, in the own failure
 	// domain and in total, so that the number of statuses that a process receives per second does not grow with the
@@ -39,8 +41,8 @@
 	// assignInterval is the longest time between two assignments of workers to owners.
 	assignInterval = 500 * time.Millisecond
 	// orphanDelay is how long a failure domain is without a member before the others take over its workers. A process
-	// that was partitioned from the others sees them all missing, and must have time to make contact before
-	// it acquires anything.
+	// that was partitioned from the others sees them all missing, and must have time to make contact before it acquires
+	// anything.
 	orphanDelay = 2 * time.Second
 )
 
@@ -98,10 +100,11 @@
 	// before all other locks.
 	assignMu sync.Mutex
 
-	mu            sync.Mutex
-	pools         map[string]*pool.Pool
-	desired       contract.Desired
-	storeRead     bool
+	mu      sync.Mutex
+	pools   map[string]*pool.Pool
+	desired contract.Desired
+	// membersRead is set once the list of members has been read from the store.
+	membersRead   bool
 	joined        bool
 	stopping      bool
 	stoppingSince time.Time
@@ -205,7 +208,7 @@
 func (d *Daemon) join(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.joined || d.stopping || !d.storeRead || now.Sub(d.started) < joinDelay {
+	if d.joined || d.stopping || !d.membersRead || now.Sub(d.started) < joinDelay {
 		return false
 	}
 	if !d.members.AllLive() && now.Sub(d.started) < joinLimit {
@@ -253,7 +256,7 @@
 }
 
 // orphanCheck returns a function that reports whether a failure domain has been without a member for longer than
-// orphanDelay, so that other domains take over its workers.
+// orphanDelay, so that other domains take over its workers. It also records that workers are assigned now.
 func (d *Daemon) orphanCheck(now time.Time) func(domain string) bool {
 	present := d.members.LiveDomains()
 	d.mu.Lock()
@@ -343,7 +346,7 @@
 	}
 	d.members.Prune(listed)
 	d.mu.Lock()
-	d.storeRead = true
+	d.membersRead = true
 	d.mu.Unlock()
 }
 
@@ -371,7 +374,7 @@
 	d.assignWorkers()
 	d.spawn(func() {
 		if err := d.o.Store.RemoveMember(ctx, d.o.Self.VM); err != nil {
-			d.o.Logger.Warn("store did not accept the removal of this member", "error", err)
+			d.o.Logger.Warn("store did not confirm the removal of this member; it may stay listed", "error", err)
 		}
 	})
 	ticker := time.NewTicker(tickInterval)
--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -69,7 +69,8 @@
 			before := ownedBy(d, 2)
 			d.net.setCut(func(string, string) bool { return false })
 			time.Sleep(2 * time.Second)
-			require.Equal(t, 4, ownedBy(d, 2), "workers owned by the failure domain after the cut, before %d", before)
+			require.Equal(t, 4, ownedBy(d, 2),
+				"workers owned by the failure domain after the partition has healed; %d before", before)
 		}
 		close(stop)
 		time.Sleep(5 * time.Second)
@@ -278,8 +279,8 @@
 }
 
 // Guards against workers that get no tasks for long after a single lost reply, so that callers would wait for seconds.
-// The load is two thirds of the capacity, and each twelfth order to a worker gets no reply and is executed seconds
-// later.
+// The load is two thirds of the capacity. Every twelfth call to a worker gets no reply, and a start among them is
+// executed seconds later.
 func TestLostOrdersCostLittleCapacity(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 8)
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -29,8 +29,10 @@
 	testBackend = "bookings"
 	testLease   = time.Second
 	testGrace   = 6 * time.Second
-	taskCPU     = 27_000
-	settleTime  = 3 * time.Second
+	// taskCPU is the CPU need of a task in thousandths of a core: a worker runs two tasks at once.
+	taskCPU = 27_000
+	// settleTime is the time for the daemons of a new deployment to join and to acquire the workers.
+	settleTime = 3 * time.Second
 )
 
 // memStore is an in-memory platform store.
@@ -355,9 +357,9 @@
 func (d *deployment) checkOverlaps() {
 	d.observer.mu.Lock()
 	defer d.observer.mu.Unlock()
-	for _, task := range d.observer.overlaps {
-		job, _, _ := strings.Cut(task, "#")
-		for _, line := range d.log.linesWith(job) {
+	for _, overlap := range d.observer.overlaps {
+		task, _, _ := strings.Cut(overlap, "#")
+		for _, line := range d.log.linesWith(task) {
 			d.t.Log(line)
 		}
 	}
--- a/edge/member.go
+++ b/edge/member.go
@@ -19,7 +19,8 @@
 	live        bool
 	ownsNothing bool
 	leaving     bool
-	desired     uint64
+	// desiredVersion is the version of the member's desired state.
+	desiredVersion uint64
 	// timestamp is the member's newest timestamp; the member reads it from its own clock.
 	timestamp uint64
 }
--- a/edge/members.go
+++ b/edge/members.go
@@ -12,10 +12,10 @@
 )
 
 // silenceTimeout is the time without a message after which a member is no longer live. Members send a status at least
-// every 200 ms.
+// every 200 ms within their failure domain, and to others unless there are many members.
 const silenceTimeout = 700 * time.Millisecond
 
-// refusedTimeout is the same timeout for a member that refuses connections.
+// refusedTimeout is the same timeout for a member to which no connection is open, as when it refuses connections.
 const refusedTimeout = 400 * time.Millisecond
 
 // missedStatuses is the number of consecutive statuses that a member may miss before it is treated as silent.
@@ -86,7 +86,7 @@
 
 // UpdateStatus records the status of a live process. It reports whether the process has started or stopped being a
 // candidate owner.
-func (m *Members) UpdateStatus(vm string, ownsNothing, leaving bool, desired, timestamp uint64) bool {
+func (m *Members) UpdateStatus(vm string, ownsNothing, leaving bool, desiredVersion, timestamp uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e, ok := m.byVM[vm]
@@ -94,12 +94,13 @@
 		return false
 	}
 	changed := e.ownsNothing != ownsNothing
-	e.ownsNothing, e.leaving, e.desired, e.timestamp = ownsNothing, leaving, desired, max(e.timestamp, timestamp)
+	e.ownsNothing, e.leaving, e.desiredVersion, e.timestamp =
+		ownsNothing, leaving, desiredVersion, max(e.timestamp, timestamp)
 	return changed
 }
 
-// Expire returns the processes that have just ceased to be live for lack of messages. A process that refuses
-// connections is not running, so its timeout is shorter than that of one that may be slow or partitioned.
+// Expire returns the processes that have just ceased to be live for lack of messages. A process to which no connection
+// is open has probably ended, so its timeout is shorter than that of one that may only be slow or partitioned.
 func (m *Members) Expire(now time.Time) []departure {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,8 +111,8 @@
 		case e.peer.Failing():
 			timeout = refusedTimeout
 		case e.info.Domain != m.self.Domain && e.peer.AckDelay(now) < silenceTimeout:
-			// Statuses to other failure domains are less frequent where there are many members; what has been sent to this one
-			// has been acknowledged.
+			// Members send statuses to other failure domains less often if there are many members. This one acknowledges the
+			// messages that it is sent, so it may miss some statuses.
 			timeout = max(silenceTimeout, missedStatuses*time.Duration(len(m.byVM))*farStatusSpacing)
 		}
 		if e.live && now.Sub(e.lastContact) > timeout {
@@ -276,7 +277,7 @@
 	defer m.mu.Unlock()
 	var ids []string
 	for _, e := range m.byVM {
-		if e.live && e.desired < version {
+		if e.live && e.desiredVersion < version {
 			ids = append(ids, e.id)
 		}
 	}
--- a/edge/messages.go
+++ b/edge/messages.go
@@ -168,7 +168,8 @@
 	}
 	becameLive, known := d.members.RecordContact(id, vm, d.o.Now())
 	if !known {
-		// The sender's status, which contains its address, arrives within 200 ms.
+		// The sender's next status contains its address. It arrives within 200 ms, later only from another failure domain
+		// of a deployment with more than 50 members.
 		return link.Accepted
 	}
 	if becameLive {
@@ -231,7 +232,7 @@
 	case *api.PeerMessage_DesiredState:
 		s, err := d.o.Store.DecodeDesired(b.DesiredState.GetDocument())
 		if err != nil {
-			d.o.Logger.Warn("cannot decode the desired state from a peer", "peer", id, "error", err)
+			d.o.Logger.Warn("cannot decode the desired state from a peer; keeping the current one", "peer", id, "error", err)
 			return
 		}
 		d.setDesired(s, id)
@@ -287,13 +288,13 @@
 }
 
 func decodeCapacity(m *api.BackendRoom) zone.BackendCapacity {
-	r := zone.BackendCapacity{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
+	c := zone.BackendCapacity{Free: int(m.GetFreeSlots()), Slots: int(m.GetSlots())}
 	for i, w := range m.GetWaitingMs() {
-		if i < len(r.Waiting) {
-			r.Waiting[i] = time.Duration(w) * time.Millisecond
+		if i < len(c.Waiting) {
+			c.Waiting[i] = time.Duration(w) * time.Millisecond
 		}
 	}
-	return r
+	return c
 }
 
 func encodeKey(k contract.RunKey) *api.TaskKey {
--- a/edge/network_test.go
+++ b/edge/network_test.go
@@ -151,6 +151,7 @@
 	chunks   chan []byte
 }
 
+// memBuffer is the number of writes that an end of a connection buffers.
 const memBuffer = 4096
 
 func newMemConn(c net.Conn, n *network, from, to string) *memConn {
--- a/edge/workerfeed.go
+++ b/edge/workerfeed.go
@@ -22,7 +22,7 @@
 	readers = 3
 	// feedTimeout is the time without contact with a reader after which a member reads the list itself.
 	feedTimeout = 2500 * time.Millisecond
-	// listGrace is how much later than the status that announces it a change may arrive.
+	// listGrace is how long after the status that announces it a change of the list may arrive.
 	listGrace = 300 * time.Millisecond
 	// listRequestInterval is the shortest time between requests for the full list of a reader.
 	listRequestInterval = 500 * time.Millisecond
