--- a/link/hostcalls.go
+++ b/link/hostcalls.go
@@ -25,8 +25,8 @@
 	StartUnhealthy
 	// StartInvalid means that the worker cannot decode the call.
 	StartInvalid
-	// StartOtherIncarnation means that a worker with another id answers at the address; the called one no longer runs.
-	StartOtherIncarnation
+	// StartOtherWorker means that a worker with another id answers at the address; the called one no longer runs.
+	StartOtherWorker
 )
 
 // String returns the verdict's name as used in logs.
@@ -68,10 +68,10 @@
 type HostReply struct {
 	Clock     time.Duration
 	StartTime int64
-	// Fenced and OtherIncarnation are the reasons for which a call has no effect: the worker has seen a higher fencing
+	// Fenced and OtherWorker are the reasons for which a call has no effect: the worker has seen a higher fencing
 	// token, or a worker with another id answers at the address.
-	Fenced           bool
-	OtherIncarnation bool
+	Fenced      bool
+	OtherWorker bool
 }
 
 // RunningRun is a run that has not ended on the worker. Progress is a percentage.
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -209,9 +209,9 @@
 	defer cancel()
 	token := newToken(p.startTimeOf(h, probed), probed.Clock)
 	reply, err := p.o.Calls.Poll(callCtx, h.address, link.HostPoll{Token: token})
-	if err != nil || reply.Fenced || reply.OtherIncarnation {
+	if err != nil || reply.Fenced || reply.OtherWorker {
 		p.o.Logger.Info("could not acquire the worker; retrying", "worker", h.address.Worker, "token", token,
-			"fenced", reply.Fenced, "other_life", reply.OtherIncarnation, "error", err)
+			"fenced", reply.Fenced, "other_life", reply.OtherWorker, "error", err)
 		return false
 	}
 	now := p.o.Now()
@@ -316,7 +316,7 @@
 		return false
 	}
 	h.pollFailed = false
-	if reply.OtherIncarnation {
+	if reply.OtherWorker {
 		p.handleOtherWorker(h, now, &fx)
 		return false
 	}
--- a/pool/start.go
+++ b/pool/start.go
@@ -89,7 +89,7 @@
 		h.wake()
 	case link.StartUnhealthy:
 		h.host.Failed(now)
-	case link.StartOtherIncarnation:
+	case link.StartOtherWorker:
 		h.host.Suspend(now)
 	}
 	p.requeue(r, fx)
