--- a/contract/handover.go
+++ b/contract/handover.go
@@ -15,8 +15,8 @@
 // AdoptedHome is a successor's record of a home that has handed over its jobs.
 type AdoptedHome struct {
 	Home machine.Incarnation
-	// Minted is the first sequence number that the home did not mint.
-	Minted uint64
+	// FirstUnminted is the first sequence number that the home has not minted.
+	FirstUnminted uint64
 	// Expired holds the highest expired sequence number of each shard of the home.
 	Expired []uint64
 	// Complete is set by the last part of the hand-over. Only then does a missing id prove that the job was never
@@ -41,7 +41,7 @@
 	case !h.Complete:
 		return fault.With(fault.JobLost, "hand-over incomplete",
 			"the home of job %s ended before it had handed over everything", id)
-	case id.Seq < h.Minted:
+	case id.Seq < h.FirstUnminted:
 		return fault.With(fault.NeverAccepted, fault.ReasonHomeClosed, "job %s was never accepted by its home, which has stopped", id)
 	default:
 		return fault.With(fault.UnknownJob, "unknown id", "job id %s was never minted", id)
@@ -127,14 +127,14 @@
 // Close stops minting and accepting, and returns the first sequence number that was never minted. After it returns,
 // no job is accepted, so Detach sees all jobs.
 func (t *JobTable) Close() uint64 {
-	next := t.CloseMint()
+	firstUnminted := t.CloseMint()
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		s.closed = true
 		s.mu.Unlock()
 	}
-	return next
+	return firstUnminted
 }
 
 // Detach marks the jobs that never started as handed over and returns each of them once. They can never start here
@@ -217,7 +217,7 @@
 	}
 	t.adopted.mu.Unlock()
 	t.mint.mu.Lock()
-	homes[0].Minted = t.mint.next
+	homes[0].FirstUnminted = t.mint.next
 	t.mint.mu.Unlock()
 	for i := range homes {
 		homes[i].Expired = make([]uint64, jobShards)
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -145,7 +145,7 @@
 	}
 	for _, r := range m.GetHomes() {
 		ok := d.table.Adopt(contract.AdoptedHome{
-			Home: machine.Incarnation(r.GetIncarnation()), Minted: r.GetMinted(), Expired: r.GetExpired(),
+			Home: machine.Incarnation(r.GetIncarnation()), FirstUnminted: r.GetMinted(), Expired: r.GetExpired(),
 			Complete: r.GetComplete(),
 		})
 		if !ok {
@@ -366,7 +366,7 @@
 	var out []*api.HandOverHome
 	for _, h := range t.d.table.Homes() {
 		out = append(out, &api.HandOverHome{
-			Incarnation: uint64(h.Home), Minted: h.Minted, Expired: h.Expired, Complete: last && h.Complete,
+			Incarnation: uint64(h.Home), Minted: h.FirstUnminted, Expired: h.Expired, Complete: last && h.Complete,
 		})
 	}
 	return out
