--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -345,9 +345,9 @@
 
 func (c *chaos) lostReplies(rng *rand.Rand) string {
 	h := c.d.hosts[anyWorker(rng)]
-	h.SetLosingAnswers(true)
+	h.SetLosingReplies(true)
 	time.Sleep(faultTime(rng))
-	h.SetLosingAnswers(false)
+	h.SetLosingReplies(false)
 	return "lost replies"
 }
 
--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -223,7 +223,7 @@
 		defer d.close()
 		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
 		for _, h := range d.hosts {
-			h.SetLosingAnswers(true)
+			h.SetLosingReplies(true)
 		}
 		answer := d.submit("edge-0-0", testJob("00000000000000aa", 6, 6*time.Second))
 		require.Equal(t, batch.Completed, (<-answer).Outcome)
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -306,7 +306,7 @@
 	capacity := machine.Resources{CPUMillis: 64_000, MemoryMB: 131_072}
 	h := standin.NewRunHost(standin.RunHostOptions{
 		ID: id, Capacity: capacity, MaxLease: testLease, Observer: d.observer,
-		Work: func(k contract.RunKey) standin.RunPlan { return d.work(k) },
+		Plan: func(k contract.RunKey) standin.RunPlan { return d.work(k) },
 		Need: func(contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: taskCPU, MemoryMB: 64} },
 	})
 	d.hosts[id] = h
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -112,7 +112,7 @@
 		capacity := machine.Resources{CPUMillis: 2000, MemoryMB: 1000}
 		h := standin.NewRunHost(standin.RunHostOptions{
 			ID: id, Capacity: capacity, MaxLease: time.Second, Observer: f.observer,
-			Work: func(k contract.RunKey) standin.RunPlan {
+			Plan: func(k contract.RunKey) standin.RunPlan {
 				d := f.runTime(k.Batch)
 				return standin.RunPlan{Duration: d, Stalls: d == 0}
 			},
@@ -286,7 +286,7 @@
 		defer f.pool.Close()
 		f.calls.delayPolls.Store(true)
 		f.setRunTime("a", 5*time.Second)
-		f.calls.hosts["w0"].SetLosingAnswers(true)
+		f.calls.hosts["w0"].SetLosingReplies(true)
 		start := time.Now()
 		key := f.order("a", 1000, 0, time.Second, 20*time.Second)
 		time.Sleep(20 * time.Millisecond)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -256,7 +256,7 @@
 }
 
 func (s *Soak) loseStarts(rng *rand.Rand) string {
-	return s.onWorker(rng, (*standin.RunHost).SetLosingAnswers)
+	return s.onWorker(rng, (*standin.RunHost).SetLosingReplies)
 }
 
 func (s *Soak) rejectStarts(rng *rand.Rand) string {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -200,7 +200,7 @@
 	}
 	host := standin.NewRunHost(standin.RunHostOptions{
 		ID: id, Capacity: capacity, MaxLease: maxLease, Observer: s.runs,
-		Work: plannedRun, Need: func(contract.RunKey) machine.Resources { return taskNeed },
+		Plan: plannedRun, Need: func(contract.RunKey) machine.Resources { return taskNeed },
 	})
 	relay, err := load.NewRelay(l.Addr().String())
 	if err != nil {
--- a/standin/runhost.go
+++ b/standin/runhost.go
@@ -39,7 +39,7 @@
 	id       string
 	capacity machine.Resources
 	maxLease time.Duration
-	work     func(key contract.RunKey) RunPlan
+	plan     func(key contract.RunKey) RunPlan
 	need     func(key contract.RunKey) machine.Resources
 	observer RunObserver
 
@@ -64,8 +64,8 @@
 	delayEveryNth int
 	nthDelay      time.Duration
 	calls         int
-	// losesAnswers makes the worker execute starts without answering.
-	losesAnswers bool
+	// losesReplies makes the worker execute starts without replying.
+	losesReplies bool
 	// rejects makes the worker reject every start as unhealthy.
 	rejects bool
 }
@@ -80,12 +80,12 @@
 	stopping bool
 }
 
-// RunHostOptions configures a RunHost. Work returns the course of a run, Need the resources that it uses.
+// RunHostOptions configures a RunHost. Plan returns the course of a run, Need the resources that it uses.
 type RunHostOptions struct {
 	ID       string
 	Capacity machine.Resources
 	MaxLease time.Duration
-	Work     func(key contract.RunKey) RunPlan
+	Plan     func(key contract.RunKey) RunPlan
 	Need     func(key contract.RunKey) machine.Resources
 	Observer RunObserver
 }
@@ -93,7 +93,7 @@
 // NewRunHost returns a worker without runs.
 func NewRunHost(o RunHostOptions) *RunHost {
 	return &RunHost{
-		id: o.ID, capacity: o.Capacity, maxLease: o.MaxLease, work: o.Work, need: o.Need, observer: o.Observer,
+		id: o.ID, capacity: o.Capacity, maxLease: o.MaxLease, plan: o.Plan, need: o.Need, observer: o.Observer,
 		startTime: time.Now(), running: make(map[contract.RunKey]*hostRun),
 		superseded: make(map[contract.RunKey]uint64), changed: make(chan struct{}),
 	}
@@ -121,17 +121,17 @@
 	h.delayEveryNth, h.nthDelay = n, delay
 }
 
-// SetLosingAnswers makes the worker execute starts without answering, or ends that fault.
-func (h *RunHost) SetLosingAnswers(loses bool) {
+// SetLosingReplies makes the worker execute starts without replying, or ends that fault.
+func (h *RunHost) SetLosingReplies(loses bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.losesAnswers = loses
+	h.losesReplies = loses
 }
 
-func (h *RunHost) isLosingAnswers() bool {
+func (h *RunHost) isLosingReplies() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.losesAnswers
+	return h.losesReplies
 }
 
 // SetRejecting makes the worker reject all starts as unhealthy, or ends that fault.
@@ -208,7 +208,7 @@
 		return 0, link.HostReply{}, h.awaitTimeout(ctx)
 	}
 	verdict, reply := h.start(s)
-	if h.isLosingAnswers() {
+	if h.isLosingReplies() {
 		return 0, link.HostReply{}, fault.InDoubt.New("the connection to worker %s was reset", h.id)
 	}
 	return verdict, reply, nil
@@ -239,7 +239,7 @@
 	if !h.capacity.Minus(h.used).Fits(need) {
 		return link.StartNoCapacity, reply
 	}
-	r := &hostRun{key: s.Key, started: time.Now(), plan: h.work(s.Key)}
+	r := &hostRun{key: s.Key, started: time.Now(), plan: h.plan(s.Key)}
 	h.used = h.used.Plus(need)
 	h.running[s.Key] = r
 	h.observer.Started(h.id, s.Key)
