--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -281,7 +281,7 @@
 // Guards against workers that get no tasks for long after a single lost reply, so that callers would wait for seconds.
 // The load is two thirds of the capacity. Every twelfth call to a worker gets no reply, and a start among them is
 // executed seconds later.
-func TestLostOrdersCostLittleCapacity(t *testing.T) {
+func TestUnansweredCallsCostLittleCapacity(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 8)
 		defer d.close()
