--- a/batch/advance.go
+++ b/batch/advance.go
@@ -46,7 +46,8 @@
 // advanceTask places, moves or expires one task, as its state and the time require.
 func (h *Home) advanceTask(j *job, t *task, now time.Time, out *outbox) {
 	if t.state == taskLost && !now.Before(t.expiresAt) {
-		h.o.Logger.Info("lease of a run at an unreachable owner has expired", "task", j.key(t).String(), "owner", t.owner)
+		h.o.Logger.Info("lease of a lost run has expired; treating the run as ended", "task", j.key(t).String(),
+			"owner", t.owner)
 		j.mayHaveRun = true
 		h.unplace(t, true)
 	}
--- a/edge/daemon.go
+++ b/edge/daemon.go
@@ -369,7 +369,7 @@
 	d.mu.Lock()
 	d.stopping, d.stoppingSince = true, d.o.Now()
 	d.mu.Unlock()
-	d.o.Logger.Info("stopping", "jobs", d.home.Active())
+	d.o.Logger.Info("stopping; releasing the workers and finishing the accepted jobs", "jobs", d.home.Active())
 	d.sendStatus(d.o.Now())
 	d.assignWorkers()
 	d.spawn(func() {
--- a/edge/members.go
+++ b/edge/members.go
@@ -118,7 +118,7 @@
 		if e.live && now.Sub(e.lastContact) > timeout {
 			e.live = false
 			departed = append(departed, departure{e.id, e.lastContact})
-			m.logger.Warn("member is silent", "member", e.info.ID(), "since", now.Sub(e.lastContact))
+			m.logger.Warn("member is silent; treating it as departed", "member", e.info.ID(), "since", now.Sub(e.lastContact))
 		}
 	}
 	return departed
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -454,8 +454,8 @@
 	if len(h.runs) == 0 || now.Before(h.host.LeasesExpireBy()) {
 		return
 	}
-	p.o.Logger.Warn("worker does not answer; the lease of its runs has expired", "worker", h.host.Listing.Worker,
-		"runs", len(h.runs), "since_contact", now.Sub(h.host.Contacted()))
+	p.o.Logger.Warn("worker does not answer; its lease has expired, treating its runs as ended",
+		"worker", h.host.Listing.Worker, "runs", len(h.runs), "since_contact", now.Sub(h.host.Contacted()))
 	for _, r := range h.runs {
 		if r.state == runStarting {
 			// The goroutine that makes the start call handles its result.
