--- a/entry/log_bench_test.go
+++ b/entry/log_bench_test.go
@@ -95,13 +95,13 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkConfigInForce measures the time from a publication until all of 24 readers have it in effect. Run it with
+// BenchmarkConfigInEffect measures the time from a publication until all of 24 readers have it in effect. Run it with
 // -benchtime 1x.
-func BenchmarkConfigInForce(b *testing.B) {
+func BenchmarkConfigInEffect(b *testing.B) {
 	_, openLog := benchPlatform(b)
 	const readers, changes = 24, 200
 	var mu sync.Mutex
-	inForce := make(map[uint64]int)       // number of readers that have a revision in effect
+	inEffect := make(map[uint64]int)      // number of readers that have a revision in effect
 	reached := make(map[uint64]time.Time) // time at which all readers have it in effect
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -113,7 +113,7 @@
 			defer mu.Unlock()
 			// Several changes in one page are applied together.
 			for ; last < v.Revision; last++ {
-				if inForce[last+1]++; inForce[last+1] == readers {
+				if inEffect[last+1]++; inEffect[last+1] == readers {
 					reached[last+1] = time.Now()
 				}
 			}
