--- a/edge/chaos_test.go
+++ b/edge/chaos_test.go
@@ -73,7 +73,7 @@
 	}
 	work := rand.New(rand.NewPCG(seed, 2))
 	var workMu sync.Mutex
-	d.work = func(contract.RunKey) standin.RunPlan {
+	d.plan = func(contract.RunKey) standin.RunPlan {
 		workMu.Lock()
 		defer workMu.Unlock()
 		duration := time.Duration(50+work.IntN(600)) * time.Millisecond
--- a/edge/daemon_test.go
+++ b/edge/daemon_test.go
@@ -48,7 +48,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 3, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		stop := make(chan struct{})
 		d.wg.Go(func() {
 			for i := 0; ; i++ {
@@ -104,7 +104,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 600 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 600 * time.Millisecond} }
 		answer := d.submit("edge-0-0", testJob("00000000000000aa", 10, 8*time.Second))
 		time.Sleep(100 * time.Millisecond)
 		d.killDaemon("edge-0-1")
@@ -117,7 +117,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
 		d.submit("edge-0-0", testJob("00000000000000aa", 8, 20*time.Second))
 		time.Sleep(500 * time.Millisecond)
 		d.killDaemon("edge-0-0")
@@ -137,7 +137,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		for _, vm := range []string{"edge-0-0", "edge-0-1", "edge-0-2"} {
 			d := newDeployment(t, 1, 3, 6)
-			d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
+			d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 5 * time.Second} }
 			d.submit(vm, testJob("00000000000000aa", 10, 20*time.Second))
 			time.Sleep(500 * time.Millisecond)
 			d.net.setCut(func(a, b string) bool { return a == vm || b == vm })
@@ -157,7 +157,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 2, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
 		var answers []<-chan batch.Answer
 		for i := range 4 {
 			answers = append(answers, d.submit("edge-0-0", testJob(fmt.Sprintf("%016x", i), 3, 6*time.Second)))
@@ -179,7 +179,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 		defer cancel()
 		d.daemons["edge-0-0"].Stop(ctx)
@@ -201,7 +201,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
 		d.hosts["worker-0-0"].SetDelay(2 * time.Second)
 		var answers []<-chan batch.Answer
 		for i := range 4 {
@@ -221,7 +221,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 300 * time.Millisecond} }
 		for _, h := range d.hosts {
 			h.SetLosingReplies(true)
 		}
@@ -237,7 +237,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 6)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 700 * time.Millisecond} }
 		for i := range 8 {
 			d.net.setDelayed(func(from, _ string) bool { return from == "edge-0-0" })
 			answer := d.submit("edge-0-0", testJob(fmt.Sprintf("%016x", i), 10, 8*time.Second))
@@ -285,7 +285,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 8)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 150 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 150 * time.Millisecond} }
 		for _, h := range d.hosts {
 			h.SetDelayEveryNth(12, 4*time.Second)
 		}
@@ -320,7 +320,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 2, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 500 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 500 * time.Millisecond} }
 		answer := d.submit("edge-0-0", testJob("00000000000000aa", 8, 6*time.Second))
 		time.Sleep(100 * time.Millisecond)
 		d.hosts["worker-0-1"].Crash()
@@ -339,7 +339,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		d := newDeployment(t, 1, 3, 4)
 		defer d.close()
-		d.work = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
+		d.plan = func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 400 * time.Millisecond} }
 		// The first tasks are larger, so that the typical size differs from that of the tasks that change their owner.
 		large := testJob("00000000000000aa", 8, 5*time.Second)
 		large.Steps[0].Need.CPUMillis = taskCPU + 4000
--- a/edge/deployment_test.go
+++ b/edge/deployment_test.go
@@ -267,7 +267,7 @@
 	daemons  map[string]*Daemon
 	observer *runObserver
 	log      *testLog
-	work     func(key contract.RunKey) standin.RunPlan
+	plan     func(key contract.RunKey) standin.RunPlan
 	wg       sync.WaitGroup
 }
 
@@ -280,7 +280,7 @@
 			running: make(map[contract.RunKey][]contract.RunKey), starts: make(map[contract.RunKey]int),
 			done: make(map[contract.RunKey]int),
 		},
-		work: func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 100 * time.Millisecond} },
+		plan: func(contract.RunKey) standin.RunPlan { return standin.RunPlan{Duration: 100 * time.Millisecond} },
 	}
 	d.store.desired = contract.Desired{
 		Version: 1, Document: []byte("1"),
@@ -306,7 +306,7 @@
 	capacity := machine.Resources{CPUMillis: 64_000, MemoryMB: 131_072}
 	h := standin.NewRunHost(standin.RunHostOptions{
 		ID: id, Capacity: capacity, MaxLease: testLease, Observer: d.observer,
-		Plan: func(k contract.RunKey) standin.RunPlan { return d.work(k) },
+		Plan: func(k contract.RunKey) standin.RunPlan { return d.plan(k) },
 		Need: func(contract.RunKey) machine.Resources { return machine.Resources{CPUMillis: taskCPU, MemoryMB: 64} },
 	})
 	d.hosts[id] = h
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -197,9 +197,9 @@
 }
 
 func (s *Soak) loseStoreAnswers(rng *rand.Rand) string {
-	s.store.SetLosingAnswers(true)
+	s.store.SetLosingReplies(true)
 	time.Sleep(faultDuration(rng))
-	s.store.SetLosingAnswers(false)
+	s.store.SetLosingReplies(false)
 	return "store"
 }
 
--- a/standin/keyedlog.go
+++ b/standin/keyedlog.go
@@ -31,8 +31,8 @@
 	topics  map[string]*keyedTopic
 	changed chan struct{}
 	down    bool
-	// losesAnswers makes appends take effect and get no answer.
-	losesAnswers bool
+	// losesReplies makes appends take effect and get no reply.
+	losesReplies bool
 }
 
 // keyedTopic is one topic. The offset of a record is its index. A record consists of the length of its key in one byte,
@@ -70,11 +70,11 @@
 	k.down = down
 }
 
-// SetLosingAnswers makes appends take effect and get no answer, or ends that fault.
-func (k *KeyedLog) SetLosingAnswers(loses bool) {
+// SetLosingReplies makes appends take effect and get no reply, or ends that fault.
+func (k *KeyedLog) SetLosingReplies(loses bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.losesAnswers = loses
+	k.losesReplies = loses
 }
 
 // Put writes a record, as the operator and the workers do. An empty value deletes the key.
@@ -119,7 +119,7 @@
 	for _, r := range records {
 		k.add(topic, r)
 	}
-	if k.losesAnswers {
+	if k.losesReplies {
 		dropConnection(c)
 		return
 	}
